--- a/test/scenarios_test.go
+++ b/test/scenarios_test.go
@@ -31,6 +31,9 @@
 	return m.Run()
 }
 
+// mixed names folders of other builds of chestnut-entry and chestnut-planner.
+var mixed = flag.String("builds", "", "folders of two builds, comma-separated: half of the VMs and planners start with each, and every restart changes to the other")
+
 // atOnce bounds how many scenarios run at the same time, each with half a
 // dozen processes.
 var atOnce = make(chan struct{}, 4)
--- a/test/soak/process_test.go
+++ b/test/soak/process_test.go
@@ -14,7 +14,11 @@
 // vm is one process of the program under test.
 type vm struct {
 	standin.Machine
-	binary, dir string
+	dir string
+	// builds are the programs that the process runs in turn, another one at each start;
+	// starts counts these.
+	builds []string
+	starts int
 	// ways are the proxies of callers, of other VMs and to the store.
 	callers, peers, store *proxy
 
@@ -71,7 +75,8 @@
 	if !v.wanted {
 		return false
 	}
-	v.cmd = exec.Command(v.binary)
+	v.cmd = exec.Command(v.builds[v.starts%len(v.builds)])
+	v.starts++
 	v.cmd.Env = []string{"CHESTNUTARCH_BOOT=" + v.settingsPath()}
 	v.cmd.Stdout, v.cmd.Stderr = log, log
 	v.expected = false
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -24,6 +24,7 @@
 	routes = flag.Int("routes", 0, "how many routes more a configuration has, over narrow links")
 	storm  = flag.Duration("storm", 6*time.Second, "how long faults are injected")
 	all    = flag.Bool("regressions", false, "play all runs that failed once")
+	mixed  = flag.String("builds", "", "folders of two builds, comma-separated: half of the VMs start with each, and every restart changes to the other")
 )
 
 // regressions are runs that failed once, each with its cause.
@@ -54,17 +55,14 @@
 	largeRoutes = 700
 )
 
-var binary string
+// builds are the programs that VMs run, the one of this source unless -builds names others.
+var builds []string
 
 func TestMain(m *testing.M) {
 	flag.Parse()
 	dir, err := os.MkdirTemp("", "soak")
 	if err == nil {
-		binary = filepath.Join(dir, "chestnut-vm")
-		var out []byte
-		if out, err = exec.Command("go", "build", "-o", binary, "../../cmd/chestnut-vm").CombinedOutput(); err != nil {
-			err = fmt.Errorf("%w: %s", err, out)
-		}
+		builds, err = programs(dir)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -75,6 +73,22 @@
 	os.Exit(code)
 }
 
+// programs returns the programs that -builds names, or builds the one of this source into dir.
+func programs(dir string) ([]string, error) {
+	if *mixed != "" {
+		var all []string
+		for _, folder := range strings.Split(*mixed, ",") {
+			all = append(all, filepath.Join(folder, "chestnut-vm"))
+		}
+		return all, nil
+	}
+	program := filepath.Join(dir, "chestnut-vm")
+	if out, err := exec.Command("go", "build", "-o", program, "../../cmd/chestnut-vm").CombinedOutput(); err != nil {
+		return nil, fmt.Errorf("%w: %s", err, out)
+	}
+	return []string{program}, nil
+}
+
 // Processes are killed, stopped and paused, ways between them are cut, delayed, reset or
 // silenced, replicas fail and leave, the store is away and forgets, all at once and in
 // series. Whatever callers and replicas see then has to keep the promises, and when the
@@ -118,7 +132,7 @@
 // rolling restart has to cut nothing.
 func play(t *testing.T, s uint64, length time.Duration, routes, vms int) {
 	r := rand.New(rand.NewPCG(s, 0))
-	w := newWorld(t, binary, vms, routes)
+	w := newWorld(t, vms, routes)
 	t.Cleanup(func() { w.keepLogs(s) })
 	w.eventually("all VMs are ready", w.allReady)
 	w.eventually("all VMs hear each other", w.allHear)
--- a/test/soak/world_test.go
+++ b/test/soak/world_test.go
@@ -66,7 +66,7 @@
 
 // newWorld starts VMs. With routes beyond those that callers use, the configuration is large
 // and the ways that it takes are narrow.
-func newWorld(t *testing.T, binary string, vms, routes int) *world {
+func newWorld(t *testing.T, vms, routes int) *world {
 	w := &world{t: t, dir: t.TempDir(), store: standin.NewStore(), oracle: newOracle()}
 	if routes > 0 {
 		w.rate = narrowRate
@@ -95,7 +95,7 @@
 	}
 	w.store.Rewrite(w.throughPeerProxies)
 	for i := range vms {
-		w.addVM(binary, fmt.Sprintf("vm-%d", i), []string{"a", "b"}[i%2])
+		w.addVM(i, fmt.Sprintf("vm-%d", i), []string{"a", "b"}[i%2])
 	}
 	// The store reads the list of VMs as soon as the first one registers.
 	for _, v := range w.vms {
@@ -140,10 +140,10 @@
 	w.describe(u)
 }
 
-func (w *world) addVM(binary, name, zone string) {
+func (w *world) addVM(firstBuild int, name, zone string) {
 	given := freePorts(w.t, 5)
 	at := func(i int) string { return fmt.Sprintf("127.0.0.1:%d", given[i]) }
-	v := &vm{binary: binary, dir: w.dir, Machine: standin.Machine{
+	v := &vm{builds: builds, starts: firstBuild, dir: w.dir, Machine: standin.Machine{
 		Name: name, Zone: zone, IP: "127.0.0.1", FirstPort: min(given[0], given[1]), LastPort: max(given[0], given[1]),
 		Callers: at(2), Readiness: at(3), Directory: at(4),
 		ConfigMs: configMs, LeaseMs: leaseMs, GraceS: int(graceTime.Seconds()), QuotaSlack: quotaSlack,
--- a/test/state_test.go
+++ b/test/state_test.go
@@ -26,6 +26,8 @@
 	daemons map[string]*daemon
 	calls   map[string]*call
 	streams map[string]*stream
+	// started counts the daemons of each program that were started.
+	started map[string]int
 }
 
 // never is how long a scenario waits before it says that something which has
@@ -36,6 +38,7 @@
 	s := &state{
 		env: e, daemons: make(map[string]*daemon),
 		calls: make(map[string]*call), streams: make(map[string]*stream),
+		started: make(map[string]int),
 	}
 	atOnce <- struct{}{}
 	e.Defer(func() {
@@ -72,6 +75,19 @@
 	cmd    *exec.Cmd
 	exited chan struct{}
 	err    error
+	// starts decides which of the builds under -builds is run.
+	starts int
+}
+
+// program is the path of the daemon's program: of this source, or with -builds of each build
+// in turn.
+func (d *daemon) program() string {
+	name := d.args[0]
+	if *mixed == "" || name != "chestnut-entry" && name != "chestnut-planner" {
+		return filepath.Join(binaries, name)
+	}
+	folders := strings.Split(*mixed, ",")
+	return filepath.Join(folders[d.starts%len(folders)], name)
 }
 
 func (d *daemon) start() error {
@@ -79,7 +95,8 @@
 	if err != nil {
 		return err
 	}
-	d.cmd = exec.Command(filepath.Join(binaries, d.args[0]), d.args[1:]...)
+	d.cmd = exec.Command(d.program(), d.args[1:]...)
+	d.starts++
 	d.cmd.Stdout, d.cmd.Stderr = log, log
 	if err := d.cmd.Start(); err != nil {
 		return err
@@ -167,7 +184,8 @@
 }
 
 func (s *state) start(name string, args ...string) error {
-	d := &daemon{args: args, log: filepath.Join(s.env.WorkDir, name+".log")}
+	d := &daemon{args: args, log: filepath.Join(s.env.WorkDir, name+".log"), starts: s.started[args[0]]}
+	s.started[args[0]]++
 	s.daemons[name] = d
 	return d.start()
 }
