--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// Kind says what may be done with the requests of a route.
+// Kind classifies a route's requests: whether they may run more than once, and whether
+// they are answered by a stream.
 type Kind int
 
-// The kinds of route. Only idempotent requests, and streams of routes that can
-// resume, may run more than once.
+// The kinds of route. Only idempotent requests, and streams of routes with CanResume,
+// may run more than once.
 const (
 	NonIdempotent Kind = iota
 	Idempotent
 	Streaming
 )
 
-// Share is the part of a route's requests that goes to one service.
+// Share is the share of a route's requests that goes to one service.
 type Share struct {
 	Service string
 	// Weight is relative to the other shares of the route.
 	Weight float64
 }
 
-// Route says where the requests below a path go and within which bounds.
+// Route defines the services and the limits of the requests below a path.
 type Route struct {
 	Name string
 	// Host and PathPrefix select the route. The prefix begins and ends with a
-	// slash; the longest one that fits wins.
+	// slash; the longest matching one wins.
 	Host       string
 	PathPrefix string
 	Kind       Kind
@@ -37,20 +38,20 @@
 	// Attempts is the largest number of upstreams that one request may be sent
 	// to. It is at least 1.
 	Attempts int
-	// Timeout bounds the whole request. Zero means no bound of the route's own.
+	// Timeout bounds the whole request. Zero means that the route sets no timeout.
 	Timeout time.Duration
-	// Objective is the time to the whole answer, or to the first event of a
-	// stream, within which the answer has its full value.
+	// Objective is the time to the complete response, or to the first event of a
+	// stream, within which the response has its full value.
 	Objective time.Duration
-	// GapObjective is the longest pause between two events of a stream.
+	// GapObjective is the longest acceptable pause between two events of a stream.
 	GapObjective time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
 	// Anonymous routes need no key.
 	Anonymous bool
-	// CanResume means that a broken stream may go on at another upstream.
+	// CanResume means that a broken stream may be resumed on another upstream.
 	CanResume bool
-	// PrefixAware means that requests name the parts of their prompts.
+	// PrefixAware means that requests identify the parts of their prompts.
 	PrefixAware bool
 }
 
@@ -64,28 +65,29 @@
 	Name string
 	// MemoryMB is the accelerator memory of the weights, in 10^6 bytes.
 	MemoryMB float64
-	// LoadTime is a load from the weight store, WarmTime one from the engine's
-	// memory, DiskTime one from its disk.
+	// LoadTime is the duration of a load from the weight store, WarmTime of one from
+	// the engine's memory, DiskTime of one from its disk.
 	LoadTime, WarmTime, DiskTime time.Duration
-	// Adapters is how many adapters the model has; AdapterMB the memory of each.
+	// Adapters is the number of the model's adapters, AdapterMB the memory of each in
+	// 10^6 bytes.
 	Adapters  int
 	AdapterMB float64
 }
 
-// EngineSpec is what all engines of a service have in common.
+// EngineSpec holds the properties that all engines of a service share.
 type EngineSpec struct {
-	// BatchSlots is how many requests run at once.
+	// BatchSlots is the number of requests that an engine runs at once.
 	BatchSlots int
 	// KVTokens is the capacity of the KV cache in tokens.
 	KVTokens int
-	// WeightsMB is the memory for models and adapters together, in 10^6 bytes.
+	// WeightsMB is the memory for models and adapters combined, in 10^6 bytes.
 	WeightsMB float64
-	// AdapterSlots is how many adapters an engine holds.
+	// AdapterSlots is the largest number of adapters that an engine holds.
 	AdapterSlots int
-	// TokensPerEvent is how many tokens one event of a stream carries.
+	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int
 	// LoadsPerSecond bounds loads from the weight store over all engines. Zero
-	// means that nothing is said of it.
+	// means that it is not configured.
 	LoadsPerSecond float64
 	Models         map[string]Model
 }
@@ -93,27 +95,27 @@
 // Service is a pool of interchangeable upstreams.
 type Service struct {
 	Name string
-	// HealthPath is asked for the health of an upstream.
+	// HealthPath is the path of an upstream's health check.
 	HealthPath string
-	// MaxConnections is what one upstream accepts from all VMs together. Zero
-	// means that nothing is said of it.
+	// MaxConnections is the number of connections that one upstream accepts from all
+	// VMs together. Zero means that it is not configured.
 	MaxConnections int
 	// Engine is nil for plain services.
 	Engine *EngineSpec
 }
 
-// Team is a tenant with its limits.
+// Team is a tenant with its rate limits.
 type Team struct {
 	Name string
 	// Rate is in units per second over all VMs together, Burst in units. Zero
 	// means no limit.
 	Rate, Burst float64
-	// Priority takes precedence over a route's if HasPriority is set.
+	// Priority overrides the route's if HasPriority is set.
 	Priority    int
 	HasPriority bool
 }
 
-// Unit is what rates count.
+// Unit is the unit of teams' rates.
 type Unit int
 
 // The units of rates.
@@ -122,7 +124,7 @@
 	UnitTokens
 )
 
-// Limits bound what a caller may send and how long it may stay idle. Zero means
+// Limits bound what a caller may send and how long its connection may be idle. Zero means
 // no bound.
 type Limits struct {
 	HeaderBytes   int64
@@ -136,38 +138,38 @@
 	// Version orders configurations.
 	Version  int64
 	Services map[string]*Service
-	// Teams is empty if requests need no key.
+	// Teams is empty if no request needs a key.
 	Teams map[string]*Team
-	// RateUnit is what teams' rates count. PlainTokens is the charge of a
-	// request that names no tokens.
+	// RateUnit is the unit of teams' rates. PlainTokens is the charge, in tokens, for a
+	// request that does not state its tokens.
 	RateUnit    Unit
 	PlainTokens int
 	Limits      Limits
 
-	routes map[string][]*Route
-	all    []*Route
-	keys   map[string]string
+	routesByHost map[string][]*Route
+	allRoutes    []*Route
+	teamByKey    map[string]string
 }
 
-// New returns a catalog of routes and of keys, which map a key to its team.
+// New returns a catalog of routes and of keys, which maps each key to the name of its team.
 func New(version int64, routes []*Route, keys map[string]string) *Catalog {
 	c := &Catalog{
 		Version: version, Services: map[string]*Service{}, Teams: map[string]*Team{},
-		routes: map[string][]*Route{}, all: routes, keys: keys,
+		routesByHost: map[string][]*Route{}, allRoutes: routes, teamByKey: keys,
 	}
 	for _, r := range routes {
-		c.routes[r.Host] = append(c.routes[r.Host], r)
+		c.routesByHost[r.Host] = append(c.routesByHost[r.Host], r)
 	}
 	return c
 }
 
 // Routes returns all routes.
-func (c *Catalog) Routes() []*Route { return c.all }
+func (c *Catalog) Routes() []*Route { return c.allRoutes }
 
-// Match returns the route with the longest prefix that fits, or nil.
+// Match returns the route with the longest matching prefix, or nil.
 func (c *Catalog) Match(host, path string) *Route {
 	var best *Route
-	for _, r := range c.routes[host] {
+	for _, r := range c.routesByHost[host] {
 		if strings.HasPrefix(path, r.PathPrefix) && (best == nil || len(r.PathPrefix) > len(best.PathPrefix)) {
 			best = r
 		}
@@ -177,7 +179,7 @@
 
 // Authenticate returns the team that holds a key.
 func (c *Catalog) Authenticate(key string) (*Team, bool) {
-	name, ok := c.keys[key]
+	name, ok := c.teamByKey[key]
 	if !ok {
 		return nil, false
 	}
@@ -190,10 +192,10 @@
 	return len(c.Teams) > 0 && !r.Anonymous
 }
 
-var splitSeed = maphash.MakeSeed()
+var shareSeed = maphash.MakeSeed()
 
-// Pick chooses the service of a request by the weights of the route's shares. The
-// same request ID always leads to the same service on one VM.
+// Pick selects the service of a request by the weights of the route's shares. For one
+// request ID a process always selects the same service.
 func (r *Route) Pick(requestID string) string {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
@@ -202,9 +204,9 @@
 	for _, s := range r.Shares {
 		total += s.Weight
 	}
-	at := float64(maphash.String(splitSeed, requestID)>>11) / (1 << 53) * total
+	point := float64(maphash.String(shareSeed, requestID)>>11) / (1 << 53) * total
 	for _, s := range r.Shares {
-		if at -= s.Weight; at < 0 {
+		if point -= s.Weight; point < 0 {
 			return s.Service
 		}
 	}
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -1,3 +1,3 @@
-// Package store is the seam to the key-value store of the platform, in which
-// everything lives that has to last or to be agreed between VMs.
+// Package store is the interface to the key-value store of the platform, which holds all
+// state that must be durable or agreed between VMs.
 package store
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,3 +1,3 @@
-// Package upstream holds what is known of the instances of all services: where
-// they are, whether they take work, and what an engine holds.
+// Package upstream describes the instances of all services: their addresses, whether they
+// accept requests, and the models and adapters that an engine holds.
 package upstream
--- a/internal/upstream/instance.go
+++ b/internal/upstream/instance.go
@@ -5,40 +5,41 @@
 	"time"
 )
 
-// Loaded is a model that an engine holds.
+// Loaded is a model that an engine holds, with its adapters.
 type Loaded struct {
 	Model    string
 	Version  int64
 	Adapters []string
 }
 
-// Instance is one incarnation of an upstream, as it describes itself.
+// Instance describes one incarnation of an upstream, as published by the upstream.
 type Instance struct {
-	// ID names the instance. An instance that starts again may keep its ID.
+	// ID identifies the instance. An instance that restarts may keep its ID.
 	ID string
-	// Born tells incarnations with the same ID apart: milliseconds since 1970.
-	// Zero means that the instance does not say.
+	// Born distinguishes incarnations with the same ID: milliseconds since 1970.
+	// Zero means that the instance does not publish it.
 	Born          int64
 	Service       string
 	Address       string
 	FailureDomain string
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that the instance runs at once.
 	Slots int
-	// Draining instances take no new work.
+	// Draining instances accept no new requests.
 	Draining bool
-	// LeavesIn is how long a draining instance has left at most when it said so.
-	// Zero means that it does not say.
+	// LeavesIn is the longest time that a draining instance has left, counted from
+	// when it published this. Zero means that it publishes none.
 	LeavesIn time.Duration
-	// Models is what an engine holds.
+	// Models lists the models that an engine holds.
 	Models []Loaded
-	// InMemory and OnDisk name the models whose weights an engine can load
-	// without the weight store.
+	// InMemory and OnDisk list the models whose weights an engine can load from its
+	// memory or its disk, without the weight store.
 	InMemory, OnDisk []string
-	// OrdersAccepted is the number of orders that this incarnation has accepted.
+	// OrdersAccepted is the number of load and unload orders that this incarnation has
+	// accepted.
 	OrdersAccepted int64
 }
 
-// Same reports whether two descriptions are of one incarnation.
+// Same reports whether two descriptions belong to the same incarnation.
 func (i *Instance) Same(other *Instance) bool {
 	return i.ID == other.ID && i.Born == other.Born && i.Address == other.Address
 }
@@ -53,12 +54,12 @@
 	return false
 }
 
-// HoldsSame reports whether two descriptions name the same models and adapters after the
-// same number of orders.
+// HoldsSame reports whether two descriptions have the same models and adapters and the same
+// number of accepted orders.
 func (i *Instance) HoldsSame(other *Instance) bool {
-	return i.OrdersAccepted == other.OrdersAccepted && slices.EqualFunc(i.Models, other.Models, Loaded.same)
+	return i.OrdersAccepted == other.OrdersAccepted && slices.EqualFunc(i.Models, other.Models, Loaded.equal)
 }
 
-func (l Loaded) same(other Loaded) bool {
+func (l Loaded) equal(other Loaded) bool {
 	return l.Model == other.Model && l.Version == other.Version && slices.Equal(l.Adapters, other.Adapters)
 }
