--- a/internal/explain/doc.go
+++ b/internal/explain/doc.go
@@ -1,3 +1,3 @@
-// Package explain tells from collected logs what happened to one request. It does no
-// I/O of its own: lines go in, the story comes out.
+// Package explain reconstructs from collected logs what happened to one request. It opens
+// no files: it reads log lines from a reader and returns a report.
 package explain
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The recorded logs are lines of real runs, one file for all VMs, with the stamps that a
-// collector put before them.
-func recorded(t *testing.T) []Event {
+// readRecordedLog reads log lines of real runs, of all VMs in one file, with the prefixes of
+// a log collector.
+func readRecordedLog(t *testing.T) []Event {
 	f, err := os.Open("testdata/recorded.log")
 	require.NoError(t, err)
 	defer f.Close()
@@ -19,8 +19,8 @@
 	return events
 }
 
-func TestStoriesFromRecordedLogs(t *testing.T) {
-	events := recorded(t)
+func TestVerdictsFromRecordedLogs(t *testing.T) {
+	events := readRecordedLog(t)
 	for request, verdict := range map[string]string{
 		"fa416722eeae592d": "team huje404 was near its rate",
 		"2ccccf52e54e1e56": `broken off after event "28"`,
@@ -28,37 +28,38 @@
 		"e420a1bf75da4d30": "nobody can know whether it ran",
 		"b220a373805c724f": "no team held its key in configuration 27",
 	} {
-		story, err := Tell(events, request)
+		report, err := Tell(events, request)
 		require.NoError(t, err)
-		require.Contains(t, story.Verdict, verdict)
-		require.Contains(t, story.String(), "* ")
+		require.Contains(t, report.Verdict, verdict)
+		require.Contains(t, report.String(), "* ")
 	}
 	_, err := Tell(events, "nobody")
 	require.ErrorIs(t, err, ErrUnknownRequest)
 }
 
-// An upstream fails a request within milliseconds. The failure's line is written before the
-// line that tells of the sending, in the same second. Taken in that order the log seems to
-// have no end of the request, and whoever is on call would look for a VM that stopped.
-func TestEndThatIsWrittenBeforeTheSendingIsTheEnd(t *testing.T) {
+// An upstream fails a request within milliseconds. The failure is logged before the send, in
+// the same second. Read in that order the log seems to lack the end of the request, and an
+// operator would look for a VM that stopped.
+func TestEndLoggedBeforeTheSendIsTheEnd(t *testing.T) {
 	events, err := Read(strings.NewReader(
 		`{"event":"request_ended","request":"r","vm":"a","outcome":"upstream_failure","status":500,"upstream":"i-1","time":"2026-02-05T12:30:53Z"}` + "\n" +
 			`{"event":"request_sent","request":"r","vm":"a","send":1,"upstream":"i-1","time":"2026-02-05T12:30:53Z"}` + "\n"))
 	require.NoError(t, err)
-	story, err := Tell(events, "r")
+	report, err := Tell(events, "r")
 	require.NoError(t, err)
-	require.Equal(t, "upstream i-1 ran it and answered 500", story.Verdict)
+	require.Equal(t, "upstream i-1 ran it and answered 500", report.Verdict)
 }
 
-func TestLinesThatAreNoEventsArePassedOver(t *testing.T) {
+func TestLinesThatAreNotEventsAreSkipped(t *testing.T) {
 	events, err := Read(strings.NewReader("plain text\n{broken\n{\"event\":\"start\",\"vm\":\"a\"}\n\n"))
 	require.NoError(t, err)
 	require.Len(t, events, 1)
 }
 
-// An engine reads ten prompts that come at once between two events of a stream, and its
-// caller waits 210 ms where 150 are allowed. The answer is worth little by then; whoever is
-// on call has to be told that it was late, and what came to the engine meanwhile.
+// An engine processes ten prompts that arrive at once between two events of a stream, and its
+// caller waits 210 ms although the objective is 150 ms. The response has lost most of its
+// value by then; the verdict must say that it was late, and what was sent to the engine
+// meanwhile.
 func TestStreamWithALongPauseIsNotInTime(t *testing.T) {
 	lines := `{"event":"request_sent","request":"r","vm":"a","send":1,"upstream":"i-1","late":false,"beside":41,"beside_others":30,"prefill_ahead":2300,"report_age_ms":240,"time":"2026-02-05T12:30:53.000Z"}
 {"event":"request_sent","request":"early","vm":"b","send":1,"upstream":"i-1","uncached":500,"time":"2026-02-05T12:30:52.900Z"}
@@ -69,9 +70,9 @@
 `
 	events, err := Read(strings.NewReader(lines))
 	require.NoError(t, err)
-	story, err := Tell(events, "r")
+	report, err := Tell(events, "r")
 	require.NoError(t, err)
-	require.Contains(t, story.Verdict, `late by a pause of 210 ms behind event "4", objective 150 ms`)
-	require.Contains(t, story.Verdict, "i-1 had 41 requests in flight (30 of other VMs, heard up to 240 ms before; 1 sent by them since) and 2300 prompt tokens to read")
-	require.Contains(t, story.Verdict, "2 requests with 5500 prompt tokens came there")
+	require.Contains(t, report.Verdict, `late by a pause of 210 ms behind event "4", objective 150 ms`)
+	require.Contains(t, report.Verdict, "i-1 had 41 requests in flight (30 of other VMs, heard up to 240 ms before; 1 sent by them since) and 2300 prompt tokens to read")
+	require.Contains(t, report.Verdict, "2 requests with 5500 prompt tokens came there")
 }
--- a/internal/explain/story.go
+++ b/internal/explain/report.go
@@ -9,39 +9,41 @@
 	"github.com/pkg/errors"
 )
 
-// around is how long before and after a request lines about its upstreams and its model
-// belong to the story.
-const around = 4 * time.Second
+// contextWindow is how long before and after a request events about its upstreams and its
+// model are included in the report.
+const contextWindow = 4 * time.Second
 
-// Story is what the logs tell of one request.
-type Story struct {
+// Report is what the logs contain about one request.
+type Report struct {
 	Request string
-	// Own are the lines of the request itself, of all VMs, in the order of their time.
-	Own []Event
-	// Context are lines about the upstreams it was sent to and the model it asked for.
-	Context []Event
-	// rivals are the sendings of other requests to the upstream that answered.
-	rivals []Event
-	// Verdict names the input that decided how it ended.
+	// RequestEvents are the events of the request itself, from all VMs, ordered by time.
+	RequestEvents []Event
+	// RelatedEvents are the events about the upstreams it was sent to and the model it used,
+	// and those that affect all requests.
+	RelatedEvents []Event
+	// competingSends are the sends of other requests to the upstream that answered.
+	competingSends []Event
+	// Verdict states the input that decided how the request ended.
 	Verdict string
 }
 
-// Tell finds a request in the events of all VMs. It returns ErrUnknownRequest, wrapped.
-func Tell(events []Event, request string) (*Story, error) {
-	s := &Story{Request: request}
+// Tell returns the report of a request from the events of all VMs. It returns
+// ErrUnknownRequest, wrapped, if no event belongs to the request.
+func Tell(events []Event, request string) (*Report, error) {
+	r := &Report{Request: request}
 	for _, e := range events {
 		if e.Request == request {
-			s.Own = append(s.Own, e)
+			r.RequestEvents = append(r.RequestEvents, e)
 		}
 	}
-	if len(s.Own) == 0 {
+	if len(r.RequestEvents) == 0 {
 		return nil, errors.Wrap(ErrUnknownRequest, request)
 	}
-	sortEvents(s.Own)
-	s.addContext(events)
-	s.addRivals(events)
-	s.Verdict = verdict(s)
-	return s, nil
+	sortEvents(r.RequestEvents)
+	r.addRelatedEvents(events)
+	r.addCompetingSends(events)
+	r.Verdict = verdict(r)
+	return r, nil
 }
 
 func sortEvents(events []Event) {
@@ -49,44 +51,45 @@
 		if c := a.Time.Compare(b.Time); c != 0 {
 			return c
 		}
-		if c := a.rank() - b.rank(); c != 0 {
+		if c := a.sortRank() - b.sortRank(); c != 0 {
 			return c
 		}
-		return a.order - b.order
+		return a.index - b.index
 	})
 }
 
-// rank puts the end of a request behind its other lines of the same second. Failures have
-// room of their own in the log and are written before the successes of the same moment, so
-// that a request which failed at once seems to have ended before it was sent.
-func (e Event) rank() int {
+// sortRank sorts the end of a request after its other lines with the same time. Failures
+// have a log buffer of their own and are written before the successes of the same moment, so
+// a request that failed at once would appear to have ended before it was sent.
+func (e Event) sortRank() int {
 	if e.Name == "request_ended" || e.Name == "request_refused" {
 		return 1
 	}
 	return 0
 }
 
-func (s *Story) addContext(events []Event) {
+func (r *Report) addRelatedEvents(events []Event) {
 	upstreams, models := make(map[string]bool), make(map[string]bool)
-	for _, e := range s.Own {
+	for _, e := range r.RequestEvents {
 		upstreams[e.Upstream] = e.Upstream != ""
 		models[e.Model] = e.Model != ""
 	}
-	from, to := s.Own[0].Time.Add(-around), s.Own[len(s.Own)-1].Time.Add(around)
+	from, to := r.RequestEvents[0].Time.Add(-contextWindow), r.RequestEvents[len(r.RequestEvents)-1].Time.Add(contextWindow)
 	for _, e := range events {
 		if e.Request != "" || e.Time.Before(from) || e.Time.After(to) {
 			continue
 		}
 		about := upstreams[e.Instance] || models[e.Load] || models[e.Evict] || (e.Name == "order" && models[e.Model])
-		if about || contextual(e, s.Own[0].VM) {
-			s.Context = append(s.Context, e)
+		if about || affectsAllRequests(e, r.RequestEvents[0].VM) {
+			r.RelatedEvents = append(r.RelatedEvents, e)
 		}
 	}
-	sortEvents(s.Context)
+	sortEvents(r.RelatedEvents)
 }
 
-// contextual are the events that touch every request of the VM that took it.
-func contextual(e Event, vm string) bool {
+// affectsAllRequests reports whether an event affects every request of the VM that served
+// this one.
+func affectsAllRequests(e Event, vm string) bool {
 	switch e.Name {
 	case "store_lost", "store_regained", "start", "stop", "draining", "configuration_in_force":
 		return e.VM == vm
@@ -96,31 +99,31 @@
 	return false
 }
 
-// verdict names what decided the end.
-func verdict(s *Story) string {
-	last := s.Own[len(s.Own)-1]
+// verdict states what decided how the request ended.
+func verdict(r *Report) string {
+	last := r.RequestEvents[len(r.RequestEvents)-1]
 	switch {
 	case last.Name == "request_refused":
 		return refusedVerdict(last)
 	case last.Name != "request_ended":
-		return "the log has no end of it: the VM stopped, or the line was dropped (look for log_dropped)"
+		return "the log has no end of this request: the VM stopped, or the line was dropped (look for log_dropped)"
 	}
 	switch last.Outcome {
 	case "answered":
-		return answeredVerdict(s, last)
+		return answeredVerdict(r, last)
 	case "refused":
 		if last.Expected > 0 {
 			return fmt.Sprintf("refused as not run, to come back after %.0f ms: it would have begun after %.0f ms, with an objective of %.0f", last.RetryAfter, last.Expected, last.Objective)
 		}
-		return fmt.Sprintf("refused as not run, to come back after %.0f ms: %s%s", last.RetryAfter, last.Cause, s.about(last))
+		return fmt.Sprintf("refused as not run, to come back after %.0f ms: %s%s", last.RetryAfter, last.Cause, r.upstreamNote(last))
 	case "cut":
-		return fmt.Sprintf("broken off after event %q: %s%s", last.LastEvent, last.Cause, s.about(last))
+		return fmt.Sprintf("broken off after event %q: %s%s", last.LastEvent, last.Cause, r.upstreamNote(last))
 	case "unknown":
-		return fmt.Sprintf("nobody can know whether it ran: %s%s", last.Cause, s.about(last))
+		return fmt.Sprintf("nobody can know whether it ran: %s%s", last.Cause, r.upstreamNote(last))
 	case "upstream_failure":
 		return fmt.Sprintf("upstream %s ran it and answered %d", last.Upstream, last.Status)
 	case "caller_left":
-		return fmt.Sprintf("the caller left after %.0f ms", last.Took)
+		return fmt.Sprintf("the caller left after %.0f ms", last.Duration)
 	}
 	return last.Outcome
 }
@@ -137,13 +140,13 @@
 	case "unknown_route":
 		return "no route had its host and path"
 	case "configuration_outdated":
-		return fmt.Sprintf("configuration %d lacked its route or key, and this VM knew that a newer one was in force elsewhere", e.Configuration)
+		return fmt.Sprintf("configuration %d lacked its route or key, and a newer one was known to be in force elsewhere", e.Configuration)
 	}
 	return e.Reason
 }
 
-func (s *Story) lastSent() Event {
-	for _, e := range slices.Backward(s.Own) {
+func (r *Report) lastSent() Event {
+	for _, e := range slices.Backward(r.RequestEvents) {
 		if e.Name == "request_sent" {
 			return e
 		}
@@ -151,39 +154,41 @@
 	return Event{}
 }
 
-// about adds what is known of the upstream or the model at that time.
-func (s *Story) about(last Event) string {
-	for _, e := range s.Context {
+// upstreamNote returns what the related events say about the upstream or the model, as a
+// suffix of the verdict, or "".
+func (r *Report) upstreamNote(last Event) string {
+	for _, e := range r.RelatedEvents {
 		if e.Instance != last.Upstream || last.Upstream == "" {
 			continue
 		}
 		switch {
 		case e.Name == "instance_gone":
-			return fmt.Sprintf("; upstream %s was gone from the store at %s", e.Instance, e.Time.Format(time.TimeOnly))
+			return fmt.Sprintf("; upstream %s disappeared from the store at %s", e.Instance, e.Time.Format(time.TimeOnly))
 		case e.Name == "instance" && e.Draining:
-			return fmt.Sprintf("; upstream %s was leaving from %s", e.Instance, e.Time.Format(time.TimeOnly))
+			return fmt.Sprintf("; upstream %s was draining from %s", e.Instance, e.Time.Format(time.TimeOnly))
 		}
 	}
 	if strings.Contains(last.Cause, "no engine holds") {
-		return s.aboutModel(last)
+		return r.modelNote(last)
 	}
 	return ""
 }
 
-func (s *Story) aboutModel(last Event) string {
-	for _, e := range s.Context {
+func (r *Report) modelNote(last Event) string {
+	for _, e := range r.RelatedEvents {
 		if e.Name == "model_move" && e.Load == last.Model {
-			return fmt.Sprintf("; %s was on its way to %s from %s", e.Load, e.Instance, e.Time.Format(time.TimeOnly))
+			return fmt.Sprintf("; a move of %s to %s was decided at %s", e.Load, e.Instance, e.Time.Format(time.TimeOnly))
 		}
 	}
-	return "; no move of it is in the log around that time"
+	return "; the log has no move of the model around that time"
 }
 
-// String tells the story in lines.
-func (s *Story) String() string {
+// String formats the report: the verdict, then one line per event, with the events of the
+// request itself marked by a star.
+func (r *Report) String() string {
 	var out strings.Builder
-	fmt.Fprintf(&out, "request %s: %s\n\n", s.Request, s.Verdict)
-	all := append(slices.Clone(s.Own), s.Context...)
+	fmt.Fprintf(&out, "request %s: %s\n\n", r.Request, r.Verdict)
+	all := append(slices.Clone(r.RequestEvents), r.RelatedEvents...)
 	sortEvents(all)
 	for _, e := range all {
 		mark := "  "
@@ -199,13 +204,13 @@
 	switch e.Name {
 	case "request_sent":
 		return fmt.Sprintf("sent (%d) to %s: %s, %d tokens to read, %.0f ms expected, held %.0f ms, %.0f ms left, upstreams known %.0f ms ago",
-			e.Send, e.Upstream, item(e), e.Uncached, e.Expected, e.Held, e.Left, e.UpstreamsAge)
+			e.SendNumber, e.Upstream, item(e), e.Uncached, e.Expected, e.Held, e.TimeLeft, e.UpstreamsAge)
 	case "request_ended":
-		return fmt.Sprintf("ended: %s %d, first event %.0f ms, took %.0f ms, %d sendings, %d may have run %s", e.Outcome, e.Status, e.First, e.Took, e.Sends, e.Ran, e.Cause)
+		return fmt.Sprintf("ended: %s %d, first event %.0f ms, took %.0f ms, %d sendings, %d may have run %s", e.Outcome, e.Status, e.TimeToFirst, e.Duration, e.Sends, e.PossibleRuns, e.Cause)
 	case "request_refused":
 		return fmt.Sprintf("refused: %s %d, retry after %.0f ms", e.Reason, e.Status, e.RetryAfter)
 	case "model_move":
-		return fmt.Sprintf("model %s goes to %s (%s), %q makes way", e.Load, e.Instance, e.Reason, e.Evict)
+		return fmt.Sprintf("model %s moves to %s (%s), evicting %q", e.Load, e.Instance, e.Reason, e.Evict)
 	case "order":
 		return fmt.Sprintf("order to %s about %s: %s %s", e.Instance, item(e), e.Result, e.Cause)
 	case "instance":
