--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -18,33 +18,33 @@
 	"github.com/chestnutarch/chestnutarch/internal/transport"
 )
 
-// ErrNotSent means that the upstream cannot have seen any byte of the request.
+// ErrNotSent means that the upstream cannot have received any byte of the request.
 var ErrNotSent = errors.New("httpconn: the request was not sent")
 
-// ErrBroken means that the connection failed after bytes of the request may have
-// left. The upstream may have acted on it.
+// ErrBroken means that the connection failed after bytes of the request may have been
+// sent. The upstream may have acted on the request.
 var ErrBroken = errors.New("httpconn: the connection broke")
 
 const (
-	// maxIdlePerHost bounds the kept connections to one upstream. A VM seldom has
-	// more requests than this with one upstream at the same time.
+	// maxIdlePerHost bounds the idle connections to one upstream. A VM rarely has more
+	// requests in flight to one upstream.
 	maxIdlePerHost = 24
-	// defaultIdle is how long a connection is kept if the upstream does not say.
-	// Before each use the connection is checked for a close that has arrived, so
-	// only a close that is on its way can hit a request.
-	defaultIdle = 20 * time.Second
-	// idleMargin is how long before the upstream's own timeout a connection is
-	// given up: the time in which a request could cross the upstream's close.
+	// defaultIdleTimeout is how long an idle connection is kept if the upstream sends no
+	// timeout. Before each use the connection is checked for a close that has arrived,
+	// so only a close that is still in transit can break a request.
+	defaultIdleTimeout = 20 * time.Second
+	// idleMargin is how long before the upstream's own timeout a connection is no longer
+	// used: the time in which a request could cross the upstream's close.
 	idleMargin = 300 * time.Millisecond
-	// readBuffer and writeChunk are the sizes of buffers in bytes.
-	readBuffer = 4 << 10
-	// asyncBody is the size of a request in bytes from which it is written beside
-	// reading: an upstream may answer before it has read a long request, and then
-	// never read on while a plain write waits for it.
-	asyncBody = 8 << 10
+	// readBufferSize is the size of a connection's read buffer in bytes.
+	readBufferSize = 4 << 10
+	// asyncWriteMin is the size of a request in bytes from which it is written
+	// concurrently with reading the response: an upstream may answer before it has read
+	// a long request and then stop reading, which would block a synchronous write.
+	asyncWriteMin = 8 << 10
 )
 
-// Pool keeps idle connections by address. It is safe for concurrent use.
+// Pool holds idle connections by address. It is safe for concurrent use.
 type Pool struct {
 	dialer *net.Dialer
 
@@ -56,38 +56,39 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// until is when the upstream may close the idle connection.
-	until time.Time
+	// idleDeadline is the time after which the idle connection is no longer used,
+	// because the upstream may close it.
+	idleDeadline time.Time
 }
 
-// NewPool returns an empty pool whose connections are given up by the limits.
+// NewPool returns an empty pool whose connections fail according to the limits.
 func NewPool(l transport.Limits) *Pool {
 	return &Pool{dialer: transport.NewDialer(l), idle: make(map[string][]*conn)}
 }
 
-// Dials returns how many connections were opened.
+// Dials returns the number of connections opened so far.
 func (p *Pool) Dials() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dials
 }
 
-// Exchange is a request whose answer has begun. It must be closed.
+// Exchange is a request whose response headers have been read. It must be closed.
 type Exchange struct {
 	Response *http.Response
 
-	pool    *Pool
-	address string
-	conn    *conn
-	stop    func() bool
-	written chan error
+	pool      *Pool
+	address   string
+	conn      *conn
+	stopReset func() bool
+	writeDone chan error
 }
 
-// Do sends the request to an address and reads the head of the answer. The
-// request's body must be repeatable from body. Ending ctx resets the connection,
-// also while the answer's body is read. Errors are ErrNotSent or ErrBroken, wrapped.
+// Do sends the request with body to an address and reads the response headers. It replaces
+// the request's Body and ContentLength. Cancelling ctx resets the connection, also while
+// the response body is read. Errors are ErrNotSent or ErrBroken, wrapped.
 func (p *Pool) Do(ctx context.Context, address string, r *http.Request, body []byte) (*Exchange, error) {
-	c := p.take(address)
+	c := p.idleConn(address)
 	if c == nil {
 		dialled, err := p.dial(ctx, address)
 		if err != nil {
@@ -96,8 +97,8 @@
 		c = dialled
 	}
 	x := &Exchange{pool: p, address: address, conn: c}
-	x.stop = context.AfterFunc(ctx, func() { c.reset() })
-	wire, err := render(r, body)
+	x.stopReset = context.AfterFunc(ctx, func() { c.reset() })
+	wire, err := serialize(r, body)
 	if err != nil {
 		x.Close(false)
 		return nil, errors.Wrapf(ErrNotSent, "%v", err)
@@ -118,7 +119,7 @@
 	return x, nil
 }
 
-func render(r *http.Request, body []byte) ([]byte, error) {
+func serialize(r *http.Request, body []byte) ([]byte, error) {
 	var wire bytes.Buffer
 	wire.Grow(len(body) + 1024)
 	r.ContentLength = int64(len(body))
@@ -137,24 +138,25 @@
 func (readCloser) Close() error { return nil }
 
 func (x *Exchange) write(wire []byte) error {
-	if len(wire) < asyncBody {
+	if len(wire) < asyncWriteMin {
 		_, err := x.conn.Write(wire)
 		return err
 	}
-	x.written = make(chan error, 1)
+	x.writeDone = make(chan error, 1)
 	go func() {
 		_, err := x.conn.Write(wire)
-		x.written <- err
+		x.writeDone <- err
 	}()
 	return nil
 }
 
-// Close ends the exchange. The connection is kept only if keep is set, the answer
-// was read to its end and nothing stands against using it again.
+// Close ends the exchange. The connection is kept for reuse only if keep is set, which
+// means that the response was read to its end, ctx has not been cancelled and the
+// connection is reusable. Otherwise it is reset.
 func (x *Exchange) Close(keep bool) {
-	live := x.stop()
-	if keep && live && x.reusable() {
-		x.pool.put(x.address, x.conn, x.Response.Header)
+	notReset := x.stopReset()
+	if keep && notReset && x.reusable() {
+		x.pool.putIdle(x.address, x.conn, x.Response.Header)
 		return
 	}
 	x.conn.reset()
@@ -164,21 +166,21 @@
 	if x.Response == nil || x.Response.Close || x.conn.reader.Buffered() > 0 {
 		return false
 	}
-	if x.written == nil {
+	if x.writeDone == nil {
 		return true
 	}
-	// An answer that came before the request was read leaves a connection on which
-	// the upstream still expects the rest of the body.
+	// If the response arrived before the upstream read the whole request, the upstream
+	// still expects the rest of the body on this connection.
 	select {
-	case err := <-x.written:
+	case err := <-x.writeDone:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// reset closes the connection at once and drops what is still to be sent, so
-// that a request which a partition holds up is not delivered later.
+// reset closes the connection at once and discards unsent data, so that a request delayed
+// by a network partition is not delivered later.
 func (c *conn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -194,14 +196,13 @@
 	p.mu.Lock()
 	p.dials++
 	p.mu.Unlock()
-	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
-// take returns an idle connection that still looks usable, the one used last
-// first, or nil.
-func (p *Pool) take(address string) *conn {
+// idleConn returns the most recently used idle connection that is still usable, or nil.
+func (p *Pool) idleConn(address string) *conn {
 	for {
-		c := p.pop(address)
+		c := p.popIdle(address)
 		if c == nil || c.usable(time.Now()) {
 			return c
 		}
@@ -209,7 +210,7 @@
 	}
 }
 
-func (p *Pool) pop(address string) *conn {
+func (p *Pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -221,11 +222,11 @@
 	return c
 }
 
-// usable reports whether nothing has arrived on the idle connection: neither a
-// close nor bytes that belong to no request. A second answer that came late would
-// otherwise be taken for the answer to the next request.
+// usable reports whether the idle connection has not expired and has received nothing,
+// neither a close nor unsolicited bytes. A late second response would otherwise be taken
+// for the response to the next request.
 func (c *conn) usable(now time.Time) bool {
-	if now.After(c.until) {
+	if now.After(c.idleDeadline) {
 		return false
 	}
 	tcp, ok := c.Conn.(*net.TCPConn)
@@ -236,23 +237,23 @@
 	if err != nil {
 		return false
 	}
-	clean := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, failed := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		clean = errors.Is(failed, syscall.EAGAIN)
+		empty = errors.Is(failed, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && clean
+	return err == nil && empty
 }
 
-func (p *Pool) put(address string, c *conn, header http.Header) {
+func (p *Pool) putIdle(address string, c *conn, header http.Header) {
 	idle := idleTimeout(header)
 	if idle <= 0 {
 		c.reset()
 		return
 	}
-	c.until = time.Now().Add(idle)
+	c.idleDeadline = time.Now().Add(idle)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle[address]) >= maxIdlePerHost {
@@ -262,8 +263,8 @@
 	p.idle[address] = append(p.idle[address], c)
 }
 
-// idleTimeout reads the upstream's own timeout from a Keep-Alive header
-// ("timeout=5, max=100").
+// idleTimeout returns how long an idle connection may be used: the upstream's own timeout
+// from a Keep-Alive header ("timeout=5, max=100") less idleMargin, or defaultIdleTimeout.
 func idleTimeout(header http.Header) time.Duration {
 	for _, field := range strings.Split(header.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
@@ -274,7 +275,7 @@
 			return time.Duration(seconds)*time.Second - idleMargin
 		}
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
 // Forget closes the idle connections to an address.
@@ -288,17 +289,17 @@
 	}
 }
 
-// Keep forgets the addresses that are not named.
-func (p *Pool) Keep(addresses map[string]bool) {
+// CloseIdleExcept closes the idle connections to all addresses that are not in addresses.
+func (p *Pool) CloseIdleExcept(addresses map[string]bool) {
 	p.mu.Lock()
-	var gone []string
+	var removed []string
 	for a := range p.idle {
 		if !addresses[a] {
-			gone = append(gone, a)
+			removed = append(removed, a)
 		}
 	}
 	p.mu.Unlock()
-	for _, a := range gone {
+	for _, a := range removed {
 		p.Forget(a)
 	}
 }
--- a/internal/httpconn/pool_test.go
+++ b/internal/httpconn/pool_test.go
@@ -16,8 +16,9 @@
 	"github.com/chestnutarch/chestnutarch/internal/transport"
 )
 
-// upstream serves each accepted connection with f and counts them.
-func upstream(t *testing.T, f func(net.Conn, *bufio.Reader)) (address string, connections *atomic.Int64) {
+// startUpstream starts a server that handles each accepted connection with f, and counts
+// the connections.
+func startUpstream(t *testing.T, f func(net.Conn, *bufio.Reader)) (address string, connections *atomic.Int64) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -38,7 +39,7 @@
 	return l.Addr().String(), connections
 }
 
-func ask(t *testing.T, p *Pool, address, method, body string) (string, error) {
+func exchange(t *testing.T, p *Pool, address, method, body string) (string, error) {
 	r, err := http.NewRequest(method, "http://"+address+"/x", nil)
 	require.NoError(t, err)
 	x, err := p.Do(t.Context(), address, r, []byte(body))
@@ -61,28 +62,28 @@
 	return err == nil
 }
 
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 func TestConnectionsAreKept(t *testing.T) {
-	address, connections := upstream(t, func(c net.Conn, r *bufio.Reader) {
-		for respond(c, r, ok) {
+	address, connections := startUpstream(t, func(c net.Conn, r *bufio.Reader) {
+		for respond(c, r, okResponse) {
 		}
 	})
 	p := NewPool(transport.Limits{})
 	for range 5 {
-		got, err := ask(t, p, address, "POST", "body")
+		got, err := exchange(t, p, address, "POST", "body")
 		require.NoError(t, err)
 		require.Equal(t, "ok", got)
 	}
 	require.Equal(t, int64(1), connections.Load())
 }
 
-// A replica sends a second answer after the complete one, while the connection is idle.
-// The next request on that connection would be answered with another caller's data.
+// A replica sends a second response after the complete one, while the connection is idle.
+// The next request on that connection would receive another caller's data.
 func TestSecondAnswerIsNotTakenForTheNext(t *testing.T) {
 	sent := make(chan struct{})
-	address, connections := upstream(t, func(c net.Conn, r *bufio.Reader) {
-		if !respond(c, r, ok) {
+	address, connections := startUpstream(t, func(c net.Conn, r *bufio.Reader) {
+		if !respond(c, r, okResponse) {
 			return
 		}
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
@@ -91,7 +92,7 @@
 	})
 	p := NewPool(transport.Limits{})
 	for range 3 {
-		got, err := ask(t, p, address, "GET", "")
+		got, err := exchange(t, p, address, "GET", "")
 		require.NoError(t, err)
 		require.Equal(t, "ok", got)
 		<-sent
@@ -99,12 +100,12 @@
 	require.Equal(t, int64(3), connections.Load())
 }
 
-// A kept connection breaks while a request is on it. The client of net/http would send a
-// GET again by itself, which no retry limit counts and the upstream sees as a second run.
+// A reused connection breaks while a request is in flight on it. The client of net/http would
+// resend a GET automatically: no retry limit counts that, and the upstream runs it twice.
 func TestBrokenRequestIsNotSentAgain(t *testing.T) {
 	var seen atomic.Int64
-	address, _ := upstream(t, func(c net.Conn, r *bufio.Reader) {
-		if !respond(c, r, ok) {
+	address, _ := startUpstream(t, func(c net.Conn, r *bufio.Reader) {
+		if !respond(c, r, okResponse) {
 			return
 		}
 		if _, err := http.ReadRequest(r); err == nil {
@@ -112,17 +113,17 @@
 		}
 	})
 	p := NewPool(transport.Limits{})
-	_, err := ask(t, p, address, "GET", "")
+	_, err := exchange(t, p, address, "GET", "")
 	require.NoError(t, err)
-	_, err = ask(t, p, address, "GET", "")
+	_, err = exchange(t, p, address, "GET", "")
 	require.ErrorIs(t, err, ErrBroken)
 	require.Equal(t, int64(1), seen.Load())
 }
 
-// A replica rejects a long request before it has read it, and reads on later. The rest of
-// the body is still due on that connection, so nothing else may be sent on it.
+// A replica rejects a long request before it has read it, and reads the rest later. It still
+// expects the rest of the body on that connection, so nothing else may be sent on it.
 func TestConnectionWithAnUnreadBodyIsNotUsedAgain(t *testing.T) {
-	address, connections := upstream(t, func(c net.Conn, r *bufio.Reader) {
+	address, connections := startUpstream(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
@@ -132,33 +133,33 @@
 	p := NewPool(transport.Limits{})
 	long := strings.Repeat("x", 16<<20)
 	for i := range int64(2) {
-		got, err := ask(t, p, address, "POST", long)
+		got, err := exchange(t, p, address, "POST", long)
 		require.NoError(t, err)
 		require.Equal(t, "no", got)
 		require.Equal(t, i+1, connections.Load())
 	}
 }
 
-// An answer without a length ends with its connection. One that is reset on the way must
-// not pass for a whole one.
+// A response without a length ends when its connection is closed. One whose connection is
+// reset before that must not be accepted as complete.
 func TestResetAnswerIsNotComplete(t *testing.T) {
-	address, _ := upstream(t, func(c net.Conn, r *bufio.Reader) {
+	address, _ := startUpstream(t, func(c net.Conn, r *bufio.Reader) {
 		respond(c, r, "HTTP/1.1 200 OK\r\n\r\nhalf an ans")
 		time.Sleep(50 * time.Millisecond)
 		_ = c.(*net.TCPConn).SetLinger(0)
 	})
-	_, err := ask(t, NewPool(transport.Limits{}), address, "GET", "")
+	_, err := exchange(t, NewPool(transport.Limits{}), address, "GET", "")
 	require.Error(t, err)
 }
 
-// The caller leaves while the upstream works. The connection is reset at once, so that
-// the upstream stops.
-func TestLeavingResetsTheConnection(t *testing.T) {
-	gone := make(chan error, 1)
-	address, _ := upstream(t, func(c net.Conn, r *bufio.Reader) {
+// The caller disconnects while the upstream processes its request. The connection is reset
+// at once, so that the upstream stops.
+func TestCancelledRequestResetsTheConnection(t *testing.T) {
+	readErr := make(chan error, 1)
+	address, _ := startUpstream(t, func(c net.Conn, r *bufio.Reader) {
 		_, _ = http.ReadRequest(r)
 		_, err := r.ReadByte()
-		gone <- err
+		readErr <- err
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(50*time.Millisecond, cancel)
@@ -166,10 +167,10 @@
 	require.NoError(t, err)
 	_, err = NewPool(transport.Limits{}).Do(ctx, address, r, nil)
 	require.ErrorIs(t, err, ErrBroken)
-	require.Error(t, <-gone)
+	require.Error(t, <-readErr)
 }
 
-func TestNothingListens(t *testing.T) {
-	_, err := ask(t, NewPool(transport.Limits{}), "127.0.0.1:1", "GET", "")
+func TestFailedDialIsNotSent(t *testing.T) {
+	_, err := exchange(t, NewPool(transport.Limits{}), "127.0.0.1:1", "GET", "")
 	require.ErrorIs(t, err, ErrNotSent)
 }
