--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -1,6 +1,6 @@
-// Package retrybudget bounds how often requests are sent again. Repeats are what
-// turns a short overload into a long one: every failing upstream would double the
-// work of the others.
+// Package retrybudget bounds how often requests are retried. Retries turn a short overload
+// into a long one: without a bound, every failing upstream would double the load of the
+// others.
 package retrybudget
 
 import (
@@ -9,26 +9,26 @@
 )
 
 const (
-	// safety is the part of the allowance that is used. Each VM knows the number of
-	// VMs only with a delay, and counts by seconds.
-	safety = 0.75
-	// step is the width of a counting interval.
-	step = time.Second
+	// safetyFactor is the part of the allowance that is used: each VM learns the number of
+	// VMs only with a delay, and counts in whole seconds.
+	safetyFactor = 0.75
+	// slotWidth is the width of a counting interval.
+	slotWidth = time.Second
 )
 
-// Limits bound the repeats of one service in a window over all VMs:
-// requests x Ratio + Slack.
+// Limits bound the retries of one service over all VMs: at most requests x Ratio + Slack in
+// any Window.
 type Limits struct {
 	Ratio, Slack float64
 	Window       time.Duration
 }
 
-// Budget is one VM's share of the repeats. It is safe for concurrent use.
+// Budget is one VM's share of the retries of all services. It is safe for concurrent use.
 type Budget struct {
-	limits Limits
-	start  time.Time
-	mu     sync.Mutex
-	counts map[string]*window
+	limits  Limits
+	start   time.Time
+	mu      sync.Mutex
+	windows map[string]*window
 }
 
 type window struct {
@@ -36,72 +36,75 @@
 }
 
 type slot struct {
-	at                int64
-	requests, repeats float64
+	index             int64
+	requests, retries float64
 }
 
-// New returns a budget that nothing has been taken from.
+// New returns a Budget with the limits l and no requests or retries counted. Counting
+// intervals start at now.
 func New(l Limits, now time.Time) *Budget {
-	return &Budget{limits: l, start: now, counts: make(map[string]*window)}
+	return &Budget{limits: l, start: now, windows: make(map[string]*window)}
 }
 
-// SetLimits takes new limits.
+// SetLimits replaces the limits. Counted requests and retries are kept.
 func (b *Budget) SetLimits(l Limits) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limits = l
 }
 
-// Request counts a request for a service.
+// Request counts a request to the service.
 func (b *Budget) Request(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.window(service).current(b.second(now)).requests++
+	b.window(service).current(b.slotIndex(now)).requests++
 }
 
-// Take reports whether a request for the service may be sent once more, and counts
-// it if so. vms is the number of VMs that share the budget.
+// Take reports whether a request to the service may be retried, and counts the retry if so.
+// vms is the number of VMs that share the budget.
 func (b *Budget) Take(service string, vms int, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service)
-	requests, repeats := w.sum(b.second(now), int64(b.limits.Window/step)+1)
-	allowed := safety * (b.limits.Ratio*requests + b.limits.Slack/float64(max(1, vms)))
-	if repeats+1 > allowed {
+	requests, retries := w.sum(b.slotIndex(now), int64(b.limits.Window/slotWidth)+1)
+	allowed := safetyFactor * (b.limits.Ratio*requests + b.limits.Slack/float64(max(1, vms)))
+	if retries+1 > allowed {
 		return false
 	}
-	w.current(b.second(now)).repeats++
+	w.current(b.slotIndex(now)).retries++
 	return true
 }
 
 func (b *Budget) window(service string) *window {
-	w := b.counts[service]
+	w := b.windows[service]
 	if w == nil {
 		w = &window{}
-		b.counts[service] = w
+		b.windows[service] = w
 	}
 	return w
 }
 
-// second numbers the counting intervals by the monotonic clock.
-func (b *Budget) second(now time.Time) int64 { return int64(now.Sub(b.start) / step) }
+// slotIndex returns the number of the counting interval that contains now, by the monotonic
+// clock.
+func (b *Budget) slotIndex(now time.Time) int64 { return int64(now.Sub(b.start) / slotWidth) }
 
-func (w *window) current(at int64) *slot {
-	if n := len(w.slots); n > 0 && w.slots[n-1].at == at {
+func (w *window) current(index int64) *slot {
+	if n := len(w.slots); n > 0 && w.slots[n-1].index == index {
 		return &w.slots[n-1]
 	}
-	w.slots = append(w.slots, slot{at: at})
+	w.slots = append(w.slots, slot{index: index})
 	return &w.slots[len(w.slots)-1]
 }
 
-// sum counts the window that ends with an interval and drops what is older.
-func (w *window) sum(at, intervals int64) (requests, repeats float64) {
-	for len(w.slots) > 0 && w.slots[0].at < at-intervals {
+// sum returns the requests and retries of the window that ends with the interval last and
+// reaches count intervals back, and drops older slots.
+func (w *window) sum(last, count int64) (requests, retries float64) {
+	for len(w.slots) > 0 && w.slots[0].index < last-count {
 		w.slots = w.slots[1:]
 	}
 	for _, s := range w.slots {
 		requests += s.requests
-		repeats += s.repeats
+		retries += s.retries
 	}
-	return requests, repeats
+	return requests, retries
 }
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every upstream of a service fails for a while, and every request would be sent once
-// more. Over all VMs the repeats have to stay within the platform's bound in every
-// window, or the service never recovers.
-func TestRepeatsStayWithinTheBoundOverAllVMs(t *testing.T) {
+// Every upstream of a service fails for a while, and every request would be retried. The
+// retries of all VMs together must stay within the platform's limit in every window, or the
+// service never recovers.
+func TestRetriesStayWithinLimitOverAllVMs(t *testing.T) {
 	const vms, perSecond = 7, 5
 	limits := Limits{Ratio: 0.2, Slack: 54, Window: 10 * time.Second}
 	now := time.Now()
@@ -18,23 +18,23 @@
 	for range vms {
 		budgets = append(budgets, New(limits, now))
 	}
-	var repeats []int
+	var retries []int
 	for second := range 60 {
-		taken := 0
+		allowed := 0
 		for _, b := range budgets {
 			for i := range perSecond {
 				at := now.Add(time.Duration(second)*time.Second + time.Duration(i)*time.Second/perSecond)
 				b.Request("s", at)
 				if b.Take("s", vms, at) {
-					taken++
+					allowed++
 				}
 			}
 		}
-		repeats = append(repeats, taken)
+		retries = append(retries, allowed)
 	}
-	for from := 0; from+10 <= len(repeats); from++ {
+	for from := 0; from+10 <= len(retries); from++ {
 		sum := 0
-		for _, n := range repeats[from : from+10] {
+		for _, n := range retries[from : from+10] {
 			sum += n
 		}
 		require.LessOrEqual(t, float64(sum), 0.2*vms*perSecond*10+54)
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestServicesHaveBudgetsOfTheirOwn(t *testing.T) {
+func TestServicesHaveSeparateBudgets(t *testing.T) {
 	now := time.Now()
 	b := New(Limits{Ratio: 0, Slack: 4, Window: time.Second}, now)
 	for b.Take("a", 1, now) {
--- a/internal/teamrate/chance.go
+++ b/internal/teamrate/chance.go
@@ -6,83 +6,87 @@
 )
 
 const (
-	// askedMemory is the time over which what a team asks for is averaged.
-	askedMemory = time.Second
-	// leastHeard is the part of the VMs that has to be heard for the average to tell what
-	// all are asked for.
-	leastHeard = 0.5
-	// startTime is how long after its start a VM does without that, and startChance the
-	// chance of a request meanwhile. With it, several times a team's rate at all VMs at
-	// once stays inside the tolerance until VMs hear each other.
-	startTime   = 1500 * time.Millisecond
-	startChance = 0.4
-	// startLevel is for how long a rate has flowed into a bucket when a VM starts: a bucket
-	// that is empty refuses all but the smallest requests.
-	startLevel = 200 * time.Millisecond
+	// demandTimeConstant is the time constant of the exponential average of a team's
+	// demand.
+	demandTimeConstant = time.Second
+	// minReportingShare is the part of the VMs whose reports must be current for the
+	// average to represent the demand at all VMs.
+	minReportingShare = 0.5
+	// startupPeriod is how long after its start a VM admits requests without that average,
+	// and startupProbability the probability of admission meanwhile. With it, several times
+	// a team's rate at all VMs at once stays within the tolerance until the VMs receive
+	// each other's reports.
+	startupPeriod      = 1500 * time.Millisecond
+	startupProbability = 0.4
+	// initialRefill is the refill time that a new bucket is credited with: an empty bucket
+	// refuses all but the smallest requests.
+	initialRefill = 200 * time.Millisecond
 )
 
-// asking is what a team asks of all VMs that are heard, in units a second.
-type asking struct {
+// demandRate is the average demand of a team at all VMs that report, in units per second.
+type demandRate struct {
 	perSecond float64
-	at        time.Time
+	updated   time.Time
 }
 
-func (a *asking) add(units float64, now time.Time) {
-	a.perSecond = a.decayed(now) + units/askedMemory.Seconds()
-	a.at = now
+func (d *demandRate) add(units float64, now time.Time) {
+	d.perSecond = d.decayed(now) + units/demandTimeConstant.Seconds()
+	d.updated = now
 }
 
-func (a *asking) decayed(now time.Time) float64 {
-	return a.perSecond * math.Exp(-now.Sub(a.at).Seconds()/askedMemory.Seconds())
+func (d *demandRate) decayed(now time.Time) float64 {
+	return d.perSecond * math.Exp(-now.Sub(d.updated).Seconds()/demandTimeConstant.Seconds())
 }
 
-// noteAsked takes in what a peer was asked for since its last report.
-func (l *Limiter) noteAsked(p *peer, asked map[string]float64, now time.Time) {
-	for team, total := range asked {
+// recordPeerDemand adds the demand that a peer received since its last report.
+func (l *Limiter) recordPeerDemand(p *peer, demand map[string]float64, now time.Time) {
+	for team, total := range demand {
 		if b := l.teams[team]; b != nil {
-			b.asked.add(total-p.asked[team], now)
+			b.demand.add(total-p.demand[team], now)
 		}
-		p.asked[team] = total
+		p.demand[team] = total
 	}
 }
 
-// asks returns what a team asks of all VMs a second; ok is false while too few of them are
-// heard, or not for long enough.
-func (l *Limiter) asks(b *bucket, now time.Time) (perSecond float64, ok bool) {
-	heard, since := 1.0, time.Time{}
+// totalDemand estimates a team's demand at all VMs, in units per second. ok is false while
+// too few VMs report, or have not reported for long enough.
+func (l *Limiter) totalDemand(b *bucket, now time.Time) (perSecond float64, ok bool) {
+	reporting, lastJoined := 1.0, time.Time{}
 	for _, p := range l.peers {
-		if p.since.IsZero() || now.Sub(p.heard) > silentAfter {
+		if p.firstReport.IsZero() || now.Sub(p.lastReport) > reportTimeout {
 			continue
 		}
-		heard += p.weight
-		if p.since.After(since) {
-			since = p.since
+		reporting += p.weight
+		if p.firstReport.After(lastJoined) {
+			lastJoined = p.firstReport
 		}
 	}
-	known := now.Sub(since)
-	if heard < leastHeard*l.vms || since.IsZero() || known < reportTime {
+	observed := now.Sub(lastJoined)
+	if reporting < minReportingShare*l.vms || lastJoined.IsZero() || observed < minDemandObservation {
 		return 0, false
 	}
-	// The average began when the last of them was first heard.
-	begun := 1 - math.Exp(-known.Seconds()/askedMemory.Seconds())
-	return b.asked.decayed(now) / begun * l.vms / heard, true
+	// Corrects the bias of an average that began when the last of them first reported.
+	bias := 1 - math.Exp(-observed.Seconds()/demandTimeConstant.Seconds())
+	return b.demand.decayed(now) / bias * l.vms / reporting, true
 }
 
-// reportTime is the least time in which what VMs are asked for tells a pace.
-const reportTime = 300 * time.Millisecond
+// minDemandObservation is the shortest time over which reports give a usable demand rate.
+const minDemandObservation = 300 * time.Millisecond
 
-// chance is the chance with which a request is admitted while a team's bucket is low.
+// admitProbability returns the probability with which a request is admitted while a team's
+// bucket is low.
 //
-// A VM's own pace does not hold a large request, nor any request where callers come to one VM
-// of hundreds every few seconds: it would refuse nearly all of a team that is far below its
-// rate. So each VM admits the part of what is asked of all that the rate allows.
-func (l *Limiter) chance(b *bucket, units float64, now time.Time) float64 {
-	paced := b.pace / units
-	if perSecond, ok := l.asks(b, now); ok {
-		return max(paced, min(1, l.share()*l.flow(b.limit)/max(perSecond, 1)))
+// The VM's local tokens are too few for a large request, and for any request where callers
+// reach one VM of hundreds only every few seconds: with them alone, nearly all requests of
+// a team far below its rate would be refused. Each VM therefore admits the part of the
+// demand at all VMs that the rate allows.
+func (l *Limiter) admitProbability(b *bucket, units float64, now time.Time) float64 {
+	localProbability := b.localLevel / units
+	if perSecond, ok := l.totalDemand(b, now); ok {
+		return max(localProbability, min(1, l.overcommitFactor()*l.refillRate(b.limit)/max(perSecond, 1)))
 	}
-	if now.Sub(l.started) < startTime {
-		return max(paced, startChance)
+	if now.Sub(l.started) < startupPeriod {
+		return max(localProbability, startupProbability)
 	}
-	return paced
+	return localProbability
 }
--- a/internal/teamrate/limiter.go
+++ b/internal/teamrate/limiter.go
@@ -9,137 +9,146 @@
 )
 
 const (
-	// silentAfter is how long a VM may say nothing before it is taken to use its
-	// equal part: nearly three reports. Until then both sides of a cut use the whole.
-	silentAfter = 700 * time.Millisecond
-	// pressed is the part of a full bucket below which a VM paces itself. Below it a
-	// team is near its rate, and what all VMs admit before they hear of each other
-	// would go beyond.
-	pressed = 0.6
-	// paceShare is how much of the rate a VM may use then, as a multiple of its equal
-	// part: callers are never spread quite evenly.
-	// Where some VMs report for many, reports take up to three turns, and what all may run
-	// ahead has to be less.
-	paceShare     = 1.6
-	paceShareMany = 1.15
-	// paceDepth is how far a VM may run ahead of its pace: about one report.
-	paceDepth = 300 * time.Millisecond
-	// depthShare and refillShare are the parts of the tolerated excess that deepen
-	// every bucket and that flow into it in each window. The tolerance is there since
-	// many VMs cannot count as exactly as one; what their late reports do not need of
-	// it (in the tests, seven VMs overshoot by up to a tenth of a window) goes to the
-	// team, so that a small rate is not refused out of caution.
-	depthShare  = 0.15
-	refillShare = 0.4
-	// handover is how long after a report for many VMs they are taken to go on as before:
-	// the time in which another VM takes the place of the one that reported.
-	handover = 2 * time.Second
-	// handoverMargin is how much more than before they are taken to use then.
-	handoverMargin = 1.3
-	// usageMemory is the time over which the use of others is averaged.
-	usageMemory = time.Second
-	// shortestWait and largestWait bound what a caller is told to wait.
-	shortestWait = 50 * time.Millisecond
-	largestWait  = 5 * time.Second
+	// reportTimeout is how long a VM may go without a report before it is assumed to use
+	// its equal part: nearly three report intervals. Until then both sides of a partition
+	// use the whole rate.
+	reportTimeout = 700 * time.Millisecond
+	// lowFraction is the part of a full bucket below which a VM limits itself to its local
+	// rate. Below it a team is near its rate, and what all VMs admit before they receive
+	// each other's reports would exceed the rate.
+	lowFraction = 0.6
+	// overcommit is how much of the rate a VM may use then, as a multiple of its equal
+	// part: callers are never spread quite evenly. overcommitAggregated applies where some
+	// VMs report for many: reports then take up to three rounds, so all VMs together may
+	// run ahead by less.
+	overcommit           = 1.6
+	overcommitAggregated = 1.15
+	// localBurst is how far a VM may run ahead of its local rate: about one report
+	// interval.
+	localBurst = 300 * time.Millisecond
+	// toleranceBurstShare and toleranceRefillShare are the parts of the tolerated excess
+	// that are added to the capacity of every bucket and to its refill in each window. The
+	// tolerance exists because many VMs cannot count as exactly as one. What their late
+	// reports do not need of it (in the tests, seven VMs overshoot by up to a tenth of a
+	// window) goes to the team, so that a small rate is not refused needlessly.
+	toleranceBurstShare  = 0.15
+	toleranceRefillShare = 0.4
+	// takeoverPeriod is how long after the last report for many VMs those VMs are assumed
+	// to go on as before: the time in which another VM replaces the one that reported for
+	// them.
+	takeoverPeriod = 2 * time.Second
+	// takeoverMargin is the factor by which they may then exceed their previous usage.
+	takeoverMargin = 1.3
+	// usageTimeConstant is the time constant of the exponential average of the other VMs'
+	// usage.
+	usageTimeConstant = time.Second
+	// minRetryAfter and maxRetryAfter bound the retry delay that is returned to callers.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
 )
 
-// Limit is one team's rate.
+// Limit is one team's rate limit.
 type Limit struct {
 	// Rate is in units per second, Burst in units.
 	Rate, Burst float64
 }
 
-// Tolerance is what the platform tolerates beyond a team's rate and burst.
+// Tolerance is the excess over a team's rate and burst that the platform tolerates.
 type Tolerance struct {
-	// Units may be used beyond them in any Window.
+	// Units may be used beyond rate and burst in any Window.
 	Units  float64
 	Window time.Duration
 }
 
-// perSecond is the part of the tolerance that flows into every bucket.
-func (t Tolerance) perSecond() float64 {
+// extraRefillRate returns the part of the tolerance that is added to the refill of every
+// bucket, in units per second.
+func (t Tolerance) extraRefillRate() float64 {
 	if t.Window <= 0 {
 		return 0
 	}
-	return refillShare * t.Units / t.Window.Seconds()
+	return toleranceRefillShare * t.Units / t.Window.Seconds()
 }
 
-// Limiter is one VM's view of all teams' buckets. It is safe for concurrent use.
+// Limiter holds one VM's copy of all teams' buckets. It is safe for concurrent use.
 type Limiter struct {
 	mu          sync.Mutex
 	tolerance   Tolerance
 	incarnation int64
 	teams       map[string]*bucket
 	peers       map[string]*peer
-	// vms is how many VMs share the rates, zero while that is not known: nothing is
-	// admitted then, since each of many VMs that start at once would use the whole.
+	// vms is how many VMs share the rates, zero while that is unknown. Nothing is admitted
+	// then, because each of many VMs that start at once would use the whole rate.
 	vms float64
-	// heardMany is when a VM that reports for many was last heard.
-	heardMany time.Time
-	// started is when the VM first knew of others.
+	// lastAggregatedReport is when the last report of a VM that reports for many arrived.
+	lastAggregatedReport time.Time
+	// started is when the VM first received a list of peers.
 	started time.Time
-	draw    *rand.Rand
+	random  *rand.Rand
 }
 
 type bucket struct {
-	limit Limit
-	level float64
-	at    time.Time
-	// admitted counts what this VM has admitted since it started.
+	limit      Limit
+	level      float64
+	refilledAt time.Time
+	// admitted counts the units that this VM has admitted since it started.
 	admitted float64
-	// others is what other VMs used lately, in units a second, as of heard.
-	others float64
-	heard  time.Time
-	// pace is what this VM may admit while the bucket is low.
-	pace float64
-	// asked is what all VMs are asked for, offered what this one was asked for since it
-	// started.
-	asked   asking
-	offered float64
+	// peerUsage is the average usage of the other VMs in units per second, as of
+	// peerUsageAt.
+	peerUsage   float64
+	peerUsageAt time.Time
+	// localLevel is the number of units that this VM may admit while the bucket is low.
+	localLevel float64
+	// demand is the average demand at all VMs. localDemand counts the units requested at
+	// this VM since it started, admitted or not.
+	demand      demandRate
+	localDemand float64
 }
 
-// peer is another VM that reports.
+// peer is another VM that reports to this one.
 type peer struct {
 	// weight is how many VMs it reports for.
 	weight      float64
 	incarnation int64
-	heard       time.Time
-	// admitted is what it has reported by team, asked what it was asked for.
-	admitted, asked map[string]float64
-	// since is when it was first heard.
-	since time.Time
-	// assumed is what was taken from the buckets for it while it was silent.
-	assumed map[string]float64
+	lastReport  time.Time
+	// admitted and demand are the totals by team that it last reported as admitted and as
+	// requested.
+	admitted, demand map[string]float64
+	// firstReport is when the first report of this incarnation arrived.
+	firstReport time.Time
+	// assumedUsage is what was taken from the buckets on its behalf while it did not
+	// report.
+	assumedUsage map[string]float64
 }
 
-// New returns a limiter without teams. incarnation is this VM's own.
+// New returns a Limiter without teams. incarnation identifies this VM's process; a later
+// start has a larger one.
 func New(t Tolerance, incarnation int64) *Limiter {
 	return &Limiter{tolerance: t, incarnation: incarnation, teams: make(map[string]*bucket), peers: make(map[string]*peer),
-		draw: rand.New(rand.NewPCG(uint64(incarnation), 0))}
+		random: rand.New(rand.NewPCG(uint64(incarnation), 0))}
 }
 
-// SetTolerance takes a new tolerance.
+// SetTolerance replaces the tolerance.
 func (l *Limiter) SetTolerance(t Tolerance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tolerance = t
 }
 
-// SetLimits takes the limits in force. A team that is not named has none.
+// SetLimits replaces the limits of all teams. A team that is not in limits is not limited.
 func (l *Limiter) SetLimits(limits map[string]Limit, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for team, limit := range limits {
 		b := l.teams[team]
 		if b == nil {
-			// Nearly empty: the VM does not know what was admitted before it started, and if
-			// all have just started, what each held would add up.
-			b = &bucket{at: now, heard: now, level: startLevel.Seconds() * l.flow(limit)}
+			// Nearly empty: what was admitted before this VM started is unknown, and if all
+			// VMs have just started, the contents of their buckets would add up.
+			b = &bucket{refilledAt: now, peerUsageAt: now, level: initialRefill.Seconds() * l.refillRate(limit)}
 			l.teams[team] = b
 		}
 		l.refill(team, b, now)
 		b.limit = limit
-		b.level = min(b.level, l.depth(limit))
+		b.level = min(b.level, l.capacity(limit))
 	}
 	for team, b := range l.teams {
 		if _, ok := limits[team]; !ok {
@@ -148,13 +157,15 @@
 	}
 }
 
-// flow is what comes into a bucket a second.
-func (l *Limiter) flow(limit Limit) float64 { return limit.Rate + l.tolerance.perSecond() }
+// refillRate is the refill of a bucket in units per second.
+func (l *Limiter) refillRate(limit Limit) float64 { return limit.Rate + l.tolerance.extraRefillRate() }
 
-func (l *Limiter) depth(limit Limit) float64 { return limit.Burst + depthShare*l.tolerance.Units }
+func (l *Limiter) capacity(limit Limit) float64 {
+	return limit.Burst + toleranceBurstShare*l.tolerance.Units
+}
 
-// SetPeers names the VMs that report, and how many VMs each reports for. One that is
-// not named any more is forgotten.
+// SetPeers replaces the VMs that report to this one; weights holds how many VMs each
+// reports for. The state of a VM that is no longer in weights is dropped.
 func (l *Limiter) SetPeers(weights map[string]int, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -166,7 +177,7 @@
 	for vm, weight := range weights {
 		l.vms += float64(weight)
 		if l.peers[vm] == nil {
-			l.peers[vm] = &peer{admitted: make(map[string]float64), asked: make(map[string]float64), assumed: make(map[string]float64)}
+			l.peers[vm] = &peer{admitted: make(map[string]float64), demand: make(map[string]float64), assumedUsage: make(map[string]float64)}
 		}
 		l.peers[vm].weight = float64(weight)
 	}
@@ -177,9 +188,10 @@
 	}
 }
 
-// Report takes what another VM has admitted and was asked for by team since its start. Teams
-// that are missing have the same totals as in its last report.
-func (l *Limiter) Report(vm string, incarnation int64, admitted, asked map[string]float64, now time.Time) {
+// Report applies another VM's totals by team since its start: the units that it admitted,
+// and the units that were requested. Teams that are missing have the same totals as in its
+// last report. Reports of VMs that SetPeers did not name are ignored.
+func (l *Limiter) Report(vm string, incarnation int64, admitted, demand map[string]float64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.peers[vm]
@@ -188,38 +200,39 @@
 	}
 	l.refillAll(now)
 	if p.incarnation != incarnation {
-		l.meet(p, incarnation, admitted)
-		p.since = now
-		clear(p.asked)
-		maps.Copy(p.asked, asked)
+		l.setBaseline(p, incarnation, admitted)
+		p.firstReport = now
+		clear(p.demand)
+		maps.Copy(p.demand, demand)
 	}
-	l.noteAsked(p, asked, now)
+	l.recordPeerDemand(p, demand, now)
 	for team, b := range l.teams {
 		used := 0.0
-		if total, told := admitted[team]; told {
+		if total, reported := admitted[team]; reported {
 			used = total - p.admitted[team]
-			b.noteOthers(used, now)
+			b.recordPeerUsage(used, now)
 		}
-		b.level = min(b.level+p.assumed[team]-used, l.depth(b.limit))
+		b.level = min(b.level+p.assumedUsage[team]-used, l.capacity(b.limit))
 	}
 	maps.Copy(p.admitted, admitted)
-	p.incarnation, p.heard = incarnation, now
+	p.incarnation, p.lastReport = incarnation, now
 	if p.weight > 1 {
-		l.heardMany = now
+		l.lastAggregatedReport = now
 	}
-	clear(p.assumed)
+	clear(p.assumedUsage)
 }
 
-// noteOthers averages what other VMs use.
-func (b *bucket) noteOthers(units float64, now time.Time) {
-	b.others = b.others*math.Exp(-now.Sub(b.heard).Seconds()/usageMemory.Seconds()) + units/usageMemory.Seconds()
-	b.heard = now
+// recordPeerUsage adds units to the average usage of the other VMs.
+func (b *bucket) recordPeerUsage(units float64, now time.Time) {
+	b.peerUsage = b.peerUsage*math.Exp(-now.Sub(b.peerUsageAt).Seconds()/usageTimeConstant.Seconds()) + units/usageTimeConstant.Seconds()
+	b.peerUsageAt = now
 }
 
-// meet notes a VM that has started or is heard for the first time. What a VM has
-// admitted that started after this one counts whole; what an older one admitted
-// before this one heard of it does not, nor what one that reports for many has added up.
-func (l *Limiter) meet(p *peer, incarnation int64, admitted map[string]float64) {
+// setBaseline sets the totals from which the usage of a new incarnation or a newly known VM
+// is counted. What a VM that started after this one has admitted counts in full. What an
+// older VM admitted before its first report to this one does not count, nor does the sum
+// accumulated by a VM that reports for many.
+func (l *Limiter) setBaseline(p *peer, incarnation int64, admitted map[string]float64) {
 	clear(p.admitted)
 	if p.weight <= 1 && (p.incarnation != 0 || incarnation > l.incarnation) {
 		return
@@ -229,28 +242,29 @@
 	}
 }
 
-// Admitted returns what this VM has admitted by team since it started.
+// Admitted returns the units that this VM has admitted by team since it started.
 func (l *Limiter) Admitted() map[string]float64 {
 	return l.totals(func(b *bucket) float64 { return b.admitted })
 }
 
-// Asked returns what this VM was asked for by team since it started.
+// Asked returns the units that were requested at this VM by team since it started, admitted
+// or not.
 func (l *Limiter) Asked() map[string]float64 {
-	return l.totals(func(b *bucket) float64 { return b.offered })
+	return l.totals(func(b *bucket) float64 { return b.localDemand })
 }
 
-func (l *Limiter) totals(of func(*bucket) float64) map[string]float64 {
+func (l *Limiter) totals(value func(*bucket) float64) map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make(map[string]float64, len(l.teams))
 	for team, b := range l.teams {
-		out[team] = of(b)
+		out[team] = value(b)
 	}
 	return out
 }
 
-// Take admits a request of so many units, or says when there will be enough. A
-// request larger than the bucket passes when the bucket is full.
+// Take admits a request of the given units, or returns the delay after which enough units
+// are expected. A request larger than the bucket is admitted when the bucket is full.
 func (l *Limiter) Take(team string, units float64, now time.Time) (ok bool, retryAfter time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -259,40 +273,41 @@
 		return true, 0
 	}
 	l.refill(team, b, now)
-	b.offered += units
-	b.asked.add(units, now)
-	need := min(units, l.depth(b.limit))
+	b.localDemand += units
+	b.demand.add(units, now)
+	need := min(units, l.capacity(b.limit))
 	if b.level < need {
-		wait := time.Duration((need - b.level) / l.flow(b.limit) * float64(time.Second))
-		return false, min(max(wait, shortestWait), largestWait)
+		wait := time.Duration((need - b.level) / l.refillRate(b.limit) * float64(time.Second))
+		return false, min(max(wait, minRetryAfter), maxRetryAfter)
 	}
-	low := b.level < pressed*l.depth(b.limit)
-	if low && l.draw.Float64() >= l.chance(b, units, now) {
-		wait := time.Duration((units - b.pace) / l.paceRate(b.limit) * float64(time.Second))
-		return false, min(max(wait, shortestWait), largestWait)
+	low := b.level < lowFraction*l.capacity(b.limit)
+	if low && l.random.Float64() >= l.admitProbability(b, units, now) {
+		wait := time.Duration((units - b.localLevel) / l.localRate(b.limit) * float64(time.Second))
+		return false, min(max(wait, minRetryAfter), maxRetryAfter)
 	}
 	b.level -= units
 	b.admitted += units
 	if low {
-		b.pace = max(0, b.pace-units)
+		b.localLevel = max(0, b.localLevel-units)
 	}
 	return true, 0
 }
 
-// paceRate is what this VM may admit a second while the bucket is low.
-func (l *Limiter) paceRate(limit Limit) float64 {
-	return l.flow(limit) * min(1, l.share()/max(1, l.vms))
+// localRate is what this VM may admit while the bucket is low, in units per second.
+func (l *Limiter) localRate(limit Limit) float64 {
+	return l.refillRate(limit) * min(1, l.overcommitFactor()/max(1, l.vms))
 }
 
-// share is how much of the rate all VMs together may admit while a bucket is low.
-func (l *Limiter) share() float64 {
-	if l.heardMany.IsZero() {
-		return paceShare
+// overcommitFactor is how much of the rate all VMs together may admit while a bucket is
+// low.
+func (l *Limiter) overcommitFactor() float64 {
+	if l.lastAggregatedReport.IsZero() {
+		return overcommit
 	}
-	return paceShareMany
+	return overcommitAggregated
 }
 
-// Return gives back what a request took that did not run.
+// Return refunds the units of an admitted request that did not run.
 func (l *Limiter) Return(team string, units float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -301,15 +316,16 @@
 		return
 	}
 	b.admitted -= units
-	b.level = min(b.level+units, l.depth(b.limit))
+	b.level = min(b.level+units, l.capacity(b.limit))
 }
 
-// Level returns what is left of a team's bucket and of this VM's pace for it, in units.
-func (l *Limiter) Level(team string) (level, pace float64) {
+// Level returns what is left of a team's bucket and of this VM's local tokens for it, in
+// units.
+func (l *Limiter) Level(team string) (level, local float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if b := l.teams[team]; b != nil {
-		return b.level, b.pace
+		return b.level, b.localLevel
 	}
 	return 0, 0
 }
@@ -320,37 +336,37 @@
 	}
 }
 
-// refill adds what has accrued since, less the equal parts of the VMs that are
-// silent.
+// refill adds what has accrued since the last refill, less the equal parts of the VMs that
+// have stopped reporting.
 func (l *Limiter) refill(team string, b *bucket, now time.Time) {
-	passed := now.Sub(b.at)
-	if passed <= 0 {
+	elapsed := now.Sub(b.refilledAt)
+	if elapsed <= 0 {
 		return
 	}
-	accrued := l.flow(b.limit) * passed.Seconds()
+	accrued := l.refillRate(b.limit) * elapsed.Seconds()
 	if l.vms == 0 {
-		b.at = now
+		b.refilledAt = now
 		return
 	}
-	part := accrued / l.vms
-	starting := now.Sub(l.started) < startTime
+	equalShare := accrued / l.vms
+	starting := now.Sub(l.started) < startupPeriod
 	for _, p := range l.peers {
-		if starting && p.heard.IsZero() {
-			// It may have started too. Until they hear each other, startChance bounds what
-			// all admit.
+		if starting && p.lastReport.IsZero() {
+			// The peer may have started at the same time. Until the VMs receive each
+			// other's reports, startupProbability bounds what all of them admit.
 			continue
 		}
-		if now.Sub(p.heard) > silentAfter {
-			used := part * p.weight
-			if p.weight > 1 && now.Sub(l.heardMany) < handover {
-				used = min(used, handoverMargin*b.others*passed.Seconds())
+		if now.Sub(p.lastReport) > reportTimeout {
+			used := equalShare * p.weight
+			if p.weight > 1 && now.Sub(l.lastAggregatedReport) < takeoverPeriod {
+				used = min(used, takeoverMargin*b.peerUsage*elapsed.Seconds())
 			}
-			p.assumed[team] += used
+			p.assumedUsage[team] += used
 			accrued -= used
 		}
 	}
-	b.level = min(b.level+accrued, l.depth(b.limit))
-	pace := l.paceRate(b.limit)
-	b.pace = min(b.pace+pace*passed.Seconds(), pace*paceDepth.Seconds())
-	b.at = now
+	b.level = min(b.level+accrued, l.capacity(b.limit))
+	rate := l.localRate(b.limit)
+	b.localLevel = min(b.localLevel+rate*elapsed.Seconds(), rate*localBurst.Seconds())
+	b.refilledAt = now
 }
--- a/internal/teamrate/limiter_test.go
+++ b/internal/teamrate/limiter_test.go
@@ -20,56 +20,56 @@
 	testJitter = 250 * time.Millisecond
 )
 
-// testRates are a small team's, a usual one's and a large one's.
+// testRates are the rates of a small, a usual and a large team.
 var testRates = []float64{20_000, 100_000, 300_000}
 
-// vms plays several limiters that report to each other.
-type vms struct {
-	now      time.Time
-	start    time.Time
-	rate     float64
-	limiters []*Limiter
-	born     []int64
-	cut      map[int]bool
-	// forgetful VMs know of no other when they start.
-	forgetful bool
+// simulation runs several limiters that report to each other.
+type simulation struct {
+	now          time.Time
+	start        time.Time
+	rate         float64
+	limiters     []*Limiter
+	incarnations []int64
+	cut          map[int]bool
+	// startIsolated makes VMs start without a list of peers.
+	startIsolated bool
 	// admitted holds the units admitted in each tick by all VMs.
 	admitted []float64
-	// refused and asked count units.
-	refused, asked float64
-	inflight       []report
-	newest         map[[2]int]time.Time
+	// refused and requested count units.
+	refused, requested float64
+	inflight           []report
+	lastDelivered      map[[2]int]time.Time
 }
 
 type report struct {
-	due, at  time.Time
-	from, to int
-	born     int64
-	admitted map[string]float64
-	asked    map[string]float64
+	deliverAt, sentAt time.Time
+	from, to          int
+	incarnation       int64
+	admitted          map[string]float64
+	demand            map[string]float64
 }
 
-func newVMs(n int, rate float64) *vms {
+func newSimulation(n int, rate float64) *simulation {
 	now := time.Now()
-	w := &vms{rate: rate, now: now, start: now, cut: make(map[int]bool), newest: make(map[[2]int]time.Time)}
+	w := &simulation{rate: rate, now: now, start: now, cut: make(map[int]bool), lastDelivered: make(map[[2]int]time.Time)}
 	w.limiters = make([]*Limiter, n)
-	w.born = make([]int64, n)
+	w.incarnations = make([]int64, n)
 	for i := range n {
 		w.restart(i)
 	}
 	return w
 }
 
-func (w *vms) restart(i int) {
-	w.born[i] = w.now.UnixNano() + int64(i)
-	w.limiters[i] = New(Tolerance{Units: testSlack, Window: testWindow}, w.born[i])
+func (w *simulation) restart(i int) {
+	w.incarnations[i] = w.now.UnixNano() + int64(i)
+	w.limiters[i] = New(Tolerance{Units: testSlack, Window: testWindow}, w.incarnations[i])
 	w.limiters[i].SetLimits(map[string]Limit{"team": {Rate: w.rate, Burst: w.rate}}, w.now)
-	if !w.forgetful {
+	if !w.startIsolated {
 		w.limiters[i].SetPeers(w.others(i), w.now)
 	}
 }
 
-func (w *vms) others(i int) map[string]int {
+func (w *simulation) others(i int) map[string]int {
 	others := make(map[string]int)
 	for j := range w.limiters {
 		if j != i {
@@ -79,16 +79,16 @@
 	return others
 }
 
-// step plays one tick, in which VM i is asked for demand[i] units a second in
-// requests of the given size.
-func (w *vms) step(r *rand.Rand, demand []float64, size float64) {
+// step simulates one tick, in which demand[i] units per second are requested at VM i in
+// requests of the given mean size.
+func (w *simulation) step(r *rand.Rand, demand []float64, size float64) {
 	total := 0.0
 	for i, d := range demand {
 		expected := d * testTick.Seconds() / size
 		for expected > 0 && r.Float64() < expected {
 			expected--
 			units := min(size*math.Exp(r.NormFloat64()*0.8-0.32), 5*size)
-			w.asked += units
+			w.requested += units
 			if ok, _ := w.limiters[i].Take("team", units, w.now); ok {
 				total += units
 			} else {
@@ -101,49 +101,49 @@
 	w.now = w.now.Add(testTick)
 }
 
-func (w *vms) exchange(r *rand.Rand) {
+func (w *simulation) exchange(r *rand.Rand) {
 	if w.now.Sub(w.start)%testReport == 0 {
 		for i, l := range w.limiters {
 			for j := range w.limiters {
 				if i != j && !w.cut[i] && !w.cut[j] {
-					w.inflight = append(w.inflight, report{w.now.Add(testLag + time.Duration(r.Int64N(int64(testJitter)))), w.now, i, j, w.born[i], l.Admitted(), l.Asked()})
+					w.inflight = append(w.inflight, report{w.now.Add(testLag + time.Duration(r.Int64N(int64(testJitter)))), w.now, i, j, w.incarnations[i], l.Admitted(), l.Asked()})
 				}
 			}
 		}
 	}
 	var later []report
 	for _, m := range w.inflight {
-		if m.due.After(w.now) {
+		if m.deliverAt.After(w.now) {
 			later = append(later, m)
 			continue
 		}
-		if m.born == w.born[m.from] && m.at.After(w.newest[[2]int{m.from, m.to}]) {
-			w.newest[[2]int{m.from, m.to}] = m.at
-			w.limiters[m.to].Report(fmt.Sprint(m.from), m.born, m.admitted, m.asked, w.now)
+		if m.incarnation == w.incarnations[m.from] && m.sentAt.After(w.lastDelivered[[2]int{m.from, m.to}]) {
+			w.lastDelivered[[2]int{m.from, m.to}] = m.sentAt
+			w.limiters[m.to].Report(fmt.Sprint(m.from), m.incarnation, m.admitted, m.demand, w.now)
 		}
 	}
 	w.inflight = later
 }
 
-// worst is the most that was admitted in any window.
-func (w *vms) worst() float64 {
+// maxWindowUsage returns the largest number of units that was admitted in any window.
+func (w *simulation) maxWindowUsage() float64 {
 	ticks := int(testWindow / testTick)
-	worst, sum := 0.0, 0.0
+	largest, sum := 0.0, 0.0
 	for i, u := range w.admitted {
 		sum += u
 		if i >= ticks {
 			sum -= w.admitted[i-ticks]
 		}
-		worst = max(worst, sum)
+		largest = max(largest, sum)
 	}
-	return worst
+	return largest
 }
 
-func (w *vms) allowed() float64 {
+func (w *simulation) allowed() float64 {
 	return (w.rate*testWindow.Seconds()+w.rate)*(1+testExcess) + testSlack
 }
 
-func even(n int, total float64) []float64 {
+func evenDemand(n int, total float64) []float64 {
 	out := make([]float64, n)
 	for i := range out {
 		out[i] = total / float64(n)
@@ -151,96 +151,95 @@
 	return out
 }
 
-// One team's program goes wild and sends several times the team's rate through all
-// VMs at once. Each VM sees the same full bucket and learns a quarter of a second
-// later what the others took from it. Other teams' callers would wait behind the
-// excess.
+// One team sends several times its rate through all VMs at once. Each VM sees the same full
+// bucket and learns only a quarter of a second later what the others took from it. If the
+// excess were admitted, other teams' callers would wait behind it.
 func TestHotTeamStaysWithinItsRate(t *testing.T) {
 	for i := range 3 * 40 {
 		seed, rate := uint64(i/3), testRates[i%3]
 		r := rand.New(rand.NewPCG(seed, 1))
-		w := newVMs(7, rate)
+		w := newSimulation(7, rate)
 		for range 400 {
-			w.step(r, even(7, rate/1.8), 9000)
+			w.step(r, evenDemand(7, rate/1.8), 9000)
 		}
 		for range 1600 {
-			w.step(r, even(7, 7.5*rate/1.8), 9000)
+			w.step(r, evenDemand(7, 7.5*rate/1.8), 9000)
 		}
-		require.Less(t, w.worst(), w.allowed(), "rate %v, seed %d", rate, seed)
+		require.Less(t, w.maxWindowUsage(), w.allowed(), "too many units admitted in a window: rate %v, seed %d", rate, seed)
 	}
 }
 
-// A VM loses its links to the others while a team sends too much through all of
-// them. Neither side hears what the other admits, and callers reach both.
-func TestPartitionMakesNoMoreOfARate(t *testing.T) {
+// A VM loses its connections to the others while a team sends too much through all of them.
+// Neither side receives the other's reports, and callers reach both.
+func TestPartitionDoesNotExceedRate(t *testing.T) {
 	for i := range 3 * 40 {
 		seed, rate := uint64(i/3), testRates[i%3]
 		r := rand.New(rand.NewPCG(seed, 2))
-		w := newVMs(7, rate)
+		w := newSimulation(7, rate)
 		for range 400 {
-			w.step(r, even(7, 6*rate/1.8), 9000)
+			w.step(r, evenDemand(7, 6*rate/1.8), 9000)
 		}
 		w.cut[3] = true
 		for range 600 {
-			w.step(r, even(7, 6*rate/1.8), 9000)
+			w.step(r, evenDemand(7, 6*rate/1.8), 9000)
 		}
 		w.cut[3] = false
 		for range 600 {
-			w.step(r, even(7, 6*rate/1.8), 9000)
+			w.step(r, evenDemand(7, 6*rate/1.8), 9000)
 		}
-		require.Less(t, w.worst(), w.allowed(), "rate %v, seed %d", rate, seed)
+		require.Less(t, w.maxWindowUsage(), w.allowed(), "too many units admitted in a window: rate %v, seed %d", rate, seed)
 	}
 }
 
-// VMs are restarted one after the other while a team sends too much. A VM that has
-// just started knows nothing of what was admitted, and what it admits before its
-// first report must count for the others too.
-func TestRestartsMakeNoMoreOfARate(t *testing.T) {
+// VMs are restarted one after the other while a team sends too much. A VM that has just
+// started does not know what was admitted before, and what it admits before its first
+// report must count at the other VMs too.
+func TestRestartsDoNotExceedRate(t *testing.T) {
 	for i := range 3 * 40 {
 		seed, rate := uint64(i/3), testRates[i%3]
 		r := rand.New(rand.NewPCG(seed, 3))
-		w := newVMs(7, rate)
+		w := newSimulation(7, rate)
 		for i := range 1600 {
 			if i > 300 && i%90 == 0 {
 				w.restart(i / 90 % 7)
 			}
-			w.step(r, even(7, 6*rate/1.8), 9000)
+			w.step(r, evenDemand(7, 6*rate/1.8), 9000)
 		}
-		require.Less(t, w.worst(), w.allowed(), "rate %v, seed %d", rate, seed)
+		require.Less(t, w.maxWindowUsage(), w.allowed(), "too many units admitted in a window: rate %v, seed %d", rate, seed)
 	}
 }
 
-// A team's callers come through few VMs, as when a handful of programs keep their
-// connections. Equal parts of the rate would refuse half of what the team asks for,
+// A team's callers reach only a few VMs, as when a handful of programs keep their
+// connections. Fixed equal parts of the rate would refuse half of the team's requests,
 // although it stays far below its rate.
 func TestUnevenCallersAreNotRefusedInsideTheRate(t *testing.T) {
 	const rate = 100_000.0
 	r := rand.New(rand.NewPCG(4, 4))
-	w := newVMs(7, rate)
+	w := newSimulation(7, rate)
 	demand := []float64{0.6 * rate / 1.8, 0.3 * rate / 1.8, 0.1 * rate / 1.8, 0, 0, 0, 0}
 	for range 300 {
-		w.step(r, even(7, rate/1.8), 9000)
+		w.step(r, evenDemand(7, rate/1.8), 9000)
 	}
-	w.asked, w.refused = 0, 0
+	w.requested, w.refused = 0, 0
 	for range 2000 {
 		w.step(r, demand, 9000)
 	}
-	require.Less(t, w.refused/w.asked, 0.01)
+	require.Less(t, w.refused/w.requested, 0.01)
 }
 
-// All VMs are killed at once and start again, while a team sends several times its rate.
-// For a moment each knows of no other; if it took the rate for its own, all together
-// would let through a multiple of it.
+// All VMs are killed at once and start again while a team sends several times its rate. For
+// a moment each knows no peers; if each admitted the whole rate, together they would admit
+// a multiple of it.
 func TestVMsThatAllStartAtOnceMakeNoMoreOfARate(t *testing.T) {
 	for i := range 3 * 8 {
 		seed, rate := uint64(i/3), testRates[i%3]
 		r := rand.New(rand.NewPCG(seed, 5))
-		w := newVMs(20, rate)
+		w := newSimulation(20, rate)
 		for range 900 {
-			w.step(r, even(20, 6*rate/1.8), 9000)
+			w.step(r, evenDemand(20, 6*rate/1.8), 9000)
 		}
 		for vm := range w.limiters {
-			w.forgetful = true
+			w.startIsolated = true
 			w.restart(vm)
 		}
 		for tick := range 800 {
@@ -249,63 +248,64 @@
 					w.limiters[vm].SetPeers(w.others(vm), w.now)
 				}
 			}
-			w.step(r, even(20, 6*rate/1.8), 9000)
+			w.step(r, evenDemand(20, 6*rate/1.8), 9000)
 		}
-		require.Less(t, w.worst(), w.allowed(), "rate %v, seed %d", rate, seed)
+		require.Less(t, w.maxWindowUsage(), w.allowed(), "too many units admitted in a window: rate %v, seed %d", rate, seed)
 	}
 }
 
-// All VMs of a large fleet lose power and start again while a team asks for little more than
-// half of its rate. Each VM sees one of its requests every few seconds, and one that admits
-// only what its own part of the rate gives in a moment refuses nearly all of them until the
-// bucket has filled: callers at the counter wait for seconds beside an idle fleet.
+// All VMs of a large fleet lose power and start again while a team's demand is little more
+// than half of its rate. Each VM receives one of its requests every few seconds. A VM that
+// admitted only what its local rate gives in that time would refuse nearly all of them
+// until the bucket has filled: callers would wait for seconds while the fleet is idle.
 func TestTeamInsideItsRateIsServedSoonAfterAllVMsStartAgain(t *testing.T) {
 	const fleet, rate = 40, 100_000.0
-	asked, refused := 0.0, 0.0
+	requested, refused := 0.0, 0.0
 	for seed := range uint64(12) {
 		r := rand.New(rand.NewPCG(seed, 6))
-		w := newVMs(fleet, rate)
+		w := newSimulation(fleet, rate)
 		for range 300 {
-			w.step(r, even(fleet, rate/1.8), 3500)
+			w.step(r, evenDemand(fleet, rate/1.8), 3500)
 		}
 		for vm := range w.limiters {
 			w.restart(vm)
 		}
-		w.asked, w.refused = 0, 0
+		w.requested, w.refused = 0, 0
 		for range 150 {
-			w.step(r, even(fleet, rate/1.8), 3500)
+			w.step(r, evenDemand(fleet, rate/1.8), 3500)
 		}
-		asked, refused = asked+w.asked, refused+w.refused
+		requested, refused = requested+w.requested, refused+w.refused
 	}
-	require.Less(t, refused/asked, 0.25, "three of four are served within a second and a half")
+	require.Less(t, refused/requested, 0.25, "at least three quarters of the units must be admitted within 1.5 s of the restart")
 }
 
-// A team of a large fleet asks for several times its rate. Its rate is its own all the same:
-// a VM that sees few of its requests must not refuse what the rate has room for.
+// A team's demand in a large fleet is several times its rate. The team must still get its
+// full rate: a VM that receives few of its requests must not refuse what the rate has room
+// for.
 func TestHotTeamOfALargeFleetGetsItsRate(t *testing.T) {
 	const fleet, rate = 40, 100_000.0
 	for seed := range uint64(2) {
 		r := rand.New(rand.NewPCG(seed, 7))
-		w := newVMs(fleet, rate)
+		w := newSimulation(fleet, rate)
 		for range 300 {
-			w.step(r, even(fleet, rate/1.8), 3500)
+			w.step(r, evenDemand(fleet, rate/1.8), 3500)
 		}
 		before := len(w.admitted)
 		for range 1200 {
-			w.step(r, even(fleet, 4*rate), 3500)
+			w.step(r, evenDemand(fleet, 4*rate), 3500)
 		}
 		served := 0.0
 		for _, u := range w.admitted[before:] {
 			served += u
 		}
-		require.Less(t, w.worst(), w.allowed(), "seed %d", seed)
-		require.Greater(t, served, 0.9*rate*12, "seed %d", seed)
+		require.Less(t, w.maxWindowUsage(), w.allowed(), "too many units admitted in a window: seed %d", seed)
+		require.Greater(t, served, 0.9*rate*12, "team got less than nine tenths of its rate: seed %d", seed)
 	}
 }
 
-// A VM reports before anybody has asked it for anything, so that its first report names no
-// team. The next one must be taken in like any other.
-func TestReportWithoutTeamsIsFollowedByOthers(t *testing.T) {
+// A VM reports before it has received any request, so its first report contains no team.
+// The next report must be applied like any other.
+func TestReportAfterOneWithoutTeamsIsApplied(t *testing.T) {
 	now := time.Now()
 	levelAfter := func(used float64) float64 {
 		l := New(Tolerance{Units: testSlack, Window: testWindow}, 1)
