--- a/internal/assign/assigner.go
+++ b/internal/assign/assigner.go
@@ -16,45 +16,47 @@
 	mu      sync.Mutex
 	nodes   map[string]*node
 	catalog *catalog.Catalog
-	paces   map[string]pace
-	// demand counts what was asked for by item since the start.
+	speeds  map[string]speed
+	// demand is the total demand by item since the start.
 	demand map[string]Demand
 	// inUse counts the requests in flight by adapter.
 	inUse map[string]int
-	// believe is told when an instance is left alone, with its failure rate and until
-	// when.
-	believe func(instance string, failures float64, until time.Time)
-	// placed is told of every engine that is given a request.
-	placed func(instance string)
-	// vms is how many VMs choose.
+	// onEjection is called for every ejected instance, with its failure rate and the end of
+	// the ejection.
+	onEjection func(instance string, failures float64, until time.Time)
+	// onPlace is called with every engine that is given a request.
+	onPlace func(instance string)
+	// vms is the number of VMs that choose upstreams, this one included.
 	vms int
-	// pausing is what is known of the pauses of streams by service.
-	pausing map[string]pausing
-	// freed is closed when work ends or starts, and replaced.
+	// stallStats holds the stall statistics of streams by service.
+	stallStats map[string]stallStats
+	// freed is closed and replaced when a request ends, its first event arrives, or the
+	// leader's record of an engine changes.
 	freed chan struct{}
 }
 
-// New returns an Assigner that knows no upstreams.
+// New returns an Assigner without upstreams.
 func New() *Assigner {
 	return &Assigner{
-		nodes: make(map[string]*node), paces: make(map[string]pace), demand: make(map[string]Demand), inUse: make(map[string]int),
-		pausing: make(map[string]pausing), freed: make(chan struct{}),
+		nodes: make(map[string]*node), speeds: make(map[string]speed), demand: make(map[string]Demand), inUse: make(map[string]int),
+		stallStats: make(map[string]stallStats), freed: make(chan struct{}),
 	}
 }
 
-// OnEjection sets what is told of every instance that is left alone for a while. It
-// must not block.
+// OnEjection sets the function that is called for every ejected instance, with its failure
+// rate and the end of the ejection. It must not block.
 func (s *Assigner) OnEjection(f func(instance string, failures float64, until time.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.believe = f
+	s.onEjection = f
 }
 
-// OnPlace sets what is told of every engine that is given a request. It must not block.
+// OnPlace sets the function that is called with every engine that is given a request. It
+// must not block.
 func (s *Assigner) OnPlace(f func(instance string)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.placed = f
+	s.onPlace = f
 }
 
 // Freed returns a channel that is closed when a place may have become free.
@@ -64,27 +66,27 @@
 	return s.freed
 }
 
-func (s *Assigner) signal() {
+func (s *Assigner) signalFreed() {
 	close(s.freed)
 	s.freed = make(chan struct{})
 }
 
-// SetVMs says how many VMs choose beside each other, this one included.
+// SetVMs sets the number of VMs that choose upstreams concurrently, this one included.
 func (s *Assigner) SetVMs(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.vms = n
 }
 
-// SetCatalog takes a newer configuration.
+// SetCatalog replaces the configuration.
 func (s *Assigner) SetCatalog(c *catalog.Catalog) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.catalog = c
 }
 
-// SetInstances replaces what is known of the upstreams. An incarnation that was
-// known keeps its history.
+// SetInstances replaces the descriptions of all upstreams. The state of an incarnation that
+// is already known is kept.
 func (s *Assigner) SetInstances(instances []upstream.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +94,7 @@
 	for _, i := range instances {
 		old := s.nodes[i.ID]
 		if old != nil && old.instance.Same(&i) {
-			old.describe(i)
+			old.update(i)
 			next[i.ID] = old
 			continue
 		}
@@ -101,8 +103,8 @@
 	s.nodes = next
 }
 
-// AddAdapter notes that an engine holds an adapter which its own description does
-// not name yet.
+// AddAdapter records that an engine holds an adapter which its own description does not
+// contain yet.
 func (s *Assigner) AddAdapter(instance, model, adapter string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,44 +113,44 @@
 	}
 }
 
-// RemoveItem notes that an engine does not hold an item.
+// RemoveItem records that an engine does not hold an item.
 func (s *Assigner) RemoveItem(instance, model, adapter string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n := s.nodes[instance]; n != nil {
-		n.contents.miss(itemName(model, adapter))
+		n.contents.remove(itemName(model, adapter))
 	}
 }
 
-// Contents is what the leader knows of an engine.
+// Contents is the leader's record of what an engine holds.
 type Contents struct {
-	// Orders is the number of orders that the engine had accepted by then.
+	// Orders is the number of orders that the engine had accepted when the record was made.
 	Orders int64
-	// Items are the models and adapters that can be used, Leaving the models that are
-	// being unloaded.
+	// Items are the models and adapters that can be used, Leaving the models that are being
+	// unloaded.
 	Items, Leaving []string
 }
 
-// SetContents takes what the leader knows of an engine.
+// SetContents replaces the leader's record of what an engine holds.
 func (s *Assigner) SetContents(instance string, k Contents) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n := s.nodes[instance]; n != nil && n.contents.reported(k) {
-		s.signal()
+	if n := s.nodes[instance]; n != nil && n.contents.setLeaderItems(k) {
+		s.signalFreed()
 	}
 }
 
-// TurnedAway notes that an engine refused a request for a model that it was taken to
-// hold: it is full, or it is about to unload the model.
+// TurnedAway records that an engine rejected a request for a model that it was expected to
+// hold: the engine is full, or it is about to unload the model.
 func (s *Assigner) TurnedAway(instance, model string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n := s.nodes[instance]; n != nil {
-		n.pausedUntil[model] = now.Add(refusalPause)
+		n.backoffUntil[model] = now.Add(rejectionBackoff)
 	}
 }
 
-// Demand is what was asked for of one item.
+// Demand is the work requested for one item.
 type Demand struct {
 	// Work is the engine time that the requests take.
 	Work     time.Duration
@@ -165,17 +167,17 @@
 	return Demand{Work: d.Work - other.Work, Requests: d.Requests - other.Requests}
 }
 
-// IsZero reports whether nothing was asked for.
+// IsZero reports whether nothing was requested.
 func (d Demand) IsZero() bool { return d == Demand{} }
 
-// Demand returns what was asked for by item since the start.
+// Demand returns the total demand by item since the start.
 func (s *Assigner) Demand() map[string]Demand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.demand)
 }
 
-// Offered counts a request towards the demand for its item.
+// Offered adds a request to the demand for its item.
 func (s *Assigner) Offered(service, model, adapter string, promptTokens, outputTokens int) {
 	if model == "" {
 		return
@@ -183,20 +185,21 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	work := s.work(s.spec(service), model, promptTokens, outputTokens)
-	s.count(model, work)
+	s.addDemand(model, work)
 	if adapter != "" {
-		s.count(itemName(model, adapter), work)
+		s.addDemand(itemName(model, adapter), work)
 	}
 }
 
-func (s *Assigner) count(item string, work time.Duration) {
+func (s *Assigner) addDemand(item string, work time.Duration) {
 	d := s.demand[item]
 	d.Work += work
 	d.Requests++
 	s.demand[item] = d
 }
 
-// Parts hashes the leading parts of a prompt of one item.
+// Parts returns the prefixes of a prompt for one item, each with the hash of all IDs up to
+// its end.
 func Parts(model, adapter string, ids []string, tokens []int) []Part {
 	h := xxhash.New()
 	_, _ = h.WriteString(itemName(model, adapter))
--- a/internal/assign/assigner_test.go
+++ b/internal/assign/assigner_test.go
@@ -36,25 +36,25 @@
 	return s
 }
 
-// draft is a prompt of 9,190 tokens that begins like others of its kind.
-func draft(kind, own int, now time.Time) Ask {
-	parts := Parts("m", "", []string{"system", fmt.Sprint("kind", kind), fmt.Sprint("own", own)}, []int{2520, 3780, 2890})
+// draftRequest has a prompt of 9,190 tokens that shares its prefix with others of its kind.
+func draftRequest(kind, unique int, now time.Time) Ask {
+	parts := Parts("m", "", []string{"system", fmt.Sprint("kind", kind), fmt.Sprint("own", unique)}, []int{2520, 3780, 2890})
 	return Ask{
 		Service: "engines", Model: "m", Parts: parts, PromptTokens: 9190, OutputTokens: 60,
 		Start: now.Add(800 * time.Millisecond), Deadline: now.Add(6 * time.Second), Urgency: 1,
 	}
 }
 
-// Several VMs send prompts that begin alike. If each chose an engine by what it sent
-// itself, every engine would read the same six thousand tokens, a sixth of a second
-// each. Without telling each other they have to choose the same one.
-func TestVMsAgreeWhereAPromptBelongs(t *testing.T) {
+// Several VMs send prompts with the same prefix. If each chose an engine by what it sent
+// itself, every engine would prefill the same six thousand tokens, a sixth of a second
+// each. The VMs must choose the same engine without exchanging reports.
+func TestVMsPreferTheSameEngineForASharedPrefix(t *testing.T) {
 	now := time.Now()
 	homes := map[string]bool{}
 	for kind := range 40 {
 		var first string
 		for vm := range 5 {
-			c, err := testAssigner("engines", 8).Choose(draft(kind, vm, now), now)
+			c, err := testAssigner("engines", 8).Choose(draftRequest(kind, vm, now), now)
 			require.NoError(t, err)
 			if vm == 0 {
 				first = c.Instance
@@ -63,30 +63,30 @@
 		}
 		homes[first] = true
 	}
-	require.Greater(t, len(homes), 5, "prompts of 40 kinds go to most of 8 engines")
+	require.Greater(t, len(homes), 5, "prompts of 40 kinds must be spread over most of 8 engines")
 }
 
-// Prompts of one kind come faster than one engine reads them. They go to others rather
-// than wait longer than reading the shared part takes.
-func TestFullHomeSpills(t *testing.T) {
+// Prompts of one kind arrive faster than one engine prefills them. They must go to other
+// engines rather than wait longer than the prefill of the shared prefix takes.
+func TestPromptsSpillOverWhenPreferredEngineIsBusy(t *testing.T) {
 	s, now := testAssigner("engines", 4), time.Now()
 	used := map[string]int{}
 	for own := range 8 {
-		c, err := s.Choose(draft(1, own, now), now)
+		c, err := s.Choose(draftRequest(1, own, now), now)
 		require.NoError(t, err)
 		used[c.Instance]++
 	}
 	require.Len(t, used, 4)
 }
 
-// Far more prompts come than the engines can begin in time. What cannot is refused at
-// once, and told when to come back: read all the same, it would make the next ones late
-// too. What was accepted can still begin within the objective.
+// Far more prompts arrive than the engines can start in time. The excess must be refused at
+// once with a retry delay, since prefilling it would delay the next prompts too. What was
+// accepted can still start within its objective.
 func TestPromptsThatWouldBeginTooLateAreRefused(t *testing.T) {
 	s, now := testAssigner("engines", 2), time.Now()
 	accepted := 0
 	for own := range 100 {
-		c, err := s.Choose(draft(own, own, now), now)
+		c, err := s.Choose(draftRequest(own, own, now), now)
 		if err == nil {
 			accepted++
 			require.LessOrEqual(t, c.Expected, 800*time.Millisecond)
@@ -96,20 +96,20 @@
 		require.ErrorAs(t, err, &refused)
 		require.ErrorIs(t, err, ErrOverloaded)
 		require.Positive(t, refused.RetryAfter)
-		require.LessOrEqual(t, refused.RetryAfter, 2*time.Second, "a third of the caller's time")
+		require.LessOrEqual(t, refused.RetryAfter, 2*time.Second, "the retry delay must be at most a third of the caller's time")
 	}
 	require.Greater(t, accepted, 2)
 	require.Less(t, accepted, 20)
 }
 
-// An upstream goes dark: no reset comes, requests to it just stay without an answer.
-// After a while it gets no more, long before its entry is gone.
-func TestSilentUpstreamGetsNoMore(t *testing.T) {
+// An upstream loses power or its network: no reset comes, and requests to it stay without
+// an answer. After a while it must get no more requests, long before its entry is gone.
+func TestUnresponsiveUpstreamGetsNoRequests(t *testing.T) {
 	s, now := testAssigner("clerks", 3), time.Now()
-	ask := Ask{Service: "clerks", Start: now.Add(100 * time.Millisecond), Deadline: now.Add(time.Second)}
+	req := Ask{Service: "clerks", Start: now.Add(100 * time.Millisecond), Deadline: now.Add(time.Second)}
 	var stuck *Choice
 	for stuck == nil {
-		c, err := s.Choose(ask, now)
+		c, err := s.Choose(req, now)
 		require.NoError(t, err)
 		if c.Instance == "i-1" {
 			stuck = c
@@ -117,12 +117,12 @@
 		}
 		s.Started(c, now)
 		s.Finish(c, Succeeded, now)
-		ask.Start = ask.Start.Add(time.Microsecond)
+		req.Start = req.Start.Add(time.Microsecond)
 	}
-	now = now.Add(plainSilence + time.Millisecond)
+	now = now.Add(plainSilenceLimit + time.Millisecond)
 	for i := range 50 {
-		ask.Start = now.Add(time.Duration(i) * time.Microsecond)
-		c, err := s.Choose(ask, now)
+		req.Start = now.Add(time.Duration(i) * time.Microsecond)
+		c, err := s.Choose(req, now)
 		require.NoError(t, err)
 		require.NotEqual(t, "i-1", c.Instance)
 		s.Started(c, now)
@@ -130,8 +130,8 @@
 	}
 }
 
-// A replica fails half of its requests while its health answers are good. It is left
-// alone after a few, and tried again later.
+// A replica fails half of its requests while its health checks succeed. It must be ejected
+// after a few failures and tried again later.
 func TestFailingUpstreamIsLeftAlone(t *testing.T) {
 	s, now := testAssigner("clerks", 2), time.Now()
 	failed := 0
@@ -151,7 +151,7 @@
 	require.Positive(t, failed)
 }
 
-// All instances of a service have failed lately. A try has a chance, a refusal has none.
+// All instances of a service have failed lately. A try may succeed, a refusal cannot.
 func TestLastUpstreamIsTriedAllTheSame(t *testing.T) {
 	s, now := testAssigner("clerks", 1), time.Now()
 	for range 10 {
@@ -161,32 +161,32 @@
 	}
 }
 
-// An engine's own description is older than the leader's last order. It must not take
-// away the adapter that was just brought.
-func TestOldDescriptionDoesNotTakeAnAdapterAway(t *testing.T) {
+// An engine's own description is older than the leader's last order. It must not remove the
+// adapter that has just been loaded.
+func TestStaleDescriptionDoesNotRemoveAdapter(t *testing.T) {
 	s, now := testAssigner("engines", 1), time.Now()
 	s.SetContents("i-0", Contents{Orders: 3, Items: []string{"m", "m/a1"}})
 	s.SetInstances([]upstream.Instance{testInstance("engines", "i-0")})
-	a := draft(1, 1, now)
-	a.Adapter = "a1"
-	_, err := s.Choose(a, now)
+	req := draftRequest(1, 1, now)
+	req.Adapter = "a1"
+	_, err := s.Choose(req, now)
 	require.NoError(t, err)
-	a.Adapter = "a2"
-	_, err = s.Choose(a, now)
+	req.Adapter = "a2"
+	_, err = s.Choose(req, now)
 	require.ErrorIs(t, err, ErrAdapterNotLoaded)
-	a.Model = "other"
-	_, err = s.Choose(a, now)
+	req.Model = "other"
+	_, err = s.Choose(req, now)
 	require.ErrorIs(t, err, ErrNotLoaded)
 }
 
 // The leader orders an engine to unload a model that requests still use. The unload waits
-// for them, and all the while the engine goes on to name the model in its own description,
-// which counts the order. It turns new requests for the model away, so each that is sent
+// for them, and meanwhile the engine still lists the model in its own description, which
+// counts the order. The engine rejects new requests for the model, so each that is sent
 // there comes back late and uses up the retry budget.
 func TestModelThatIsBeingUnloadedGetsNoRequests(t *testing.T) {
 	s, now := testAssigner("engines", 1), time.Now()
 	holds := func() bool {
-		_, err := s.Choose(draft(1, 1, now), now)
+		_, err := s.Choose(draftRequest(1, 1, now), now)
 		return err == nil
 	}
 	describe := func(orders int64, models ...string) {
@@ -201,49 +201,50 @@
 	describe(3, "m", "other")
 	require.True(t, holds())
 	s.SetContents("i-0", Contents{Orders: 3, Items: []string{"other"}, Leaving: []string{"m"}})
-	require.False(t, holds(), "before the order")
+	require.False(t, holds(), "the model is listed as leaving, the unload is not ordered yet")
 	describe(4, "m", "other")
-	require.False(t, holds(), "the engine has accepted it and waits")
+	require.False(t, holds(), "the engine has accepted the unload and waits for running requests")
 	s.SetContents("i-0", Contents{Orders: 4, Items: []string{"other"}, Leaving: []string{"m"}})
 	require.False(t, holds())
 	describe(6, "m", "other")
-	require.True(t, holds(), "later orders have brought it back")
+	require.True(t, holds(), "later orders have loaded the model again")
 }
 
-// An engine turns a request away that it was expected to take: it is full of requests of
-// other VMs, or about to unload the model. The next requests go elsewhere for a moment
-// rather than be turned away one by one.
-func TestEngineThatTurnsAwayIsPaused(t *testing.T) {
+// An engine rejects a request that it was expected to accept: it is full of requests of
+// other VMs, or about to unload the model. The next requests must go elsewhere for a moment
+// rather than be rejected one by one.
+func TestEngineThatRejectsRequestIsBackedOff(t *testing.T) {
 	s, now := testAssigner("engines", 2), time.Now()
-	c, err := s.Choose(draft(1, 1, now), now)
+	c, err := s.Choose(draftRequest(1, 1, now), now)
 	require.NoError(t, err)
 	s.Finish(c, Neutral, now)
 	s.TurnedAway(c.Instance, "m", now)
-	next, err := s.Choose(draft(1, 1, now), now)
+	next, err := s.Choose(draftRequest(1, 1, now), now)
 	require.NoError(t, err)
 	require.NotEqual(t, c.Instance, next.Instance)
 	s.TurnedAway(next.Instance, "m", now)
-	_, err = s.Choose(draft(1, 1, now), now)
-	require.ErrorIs(t, err, ErrOverloaded, "held for a place, not sent")
-	later := now.Add(refusalPause)
-	_, err = s.Choose(draft(1, 1, later), later)
+	_, err = s.Choose(draftRequest(1, 1, now), now)
+	require.ErrorIs(t, err, ErrOverloaded, "while both engines are in backoff the request must be refused, not sent")
+	later := now.Add(rejectionBackoff)
+	_, err = s.Choose(draftRequest(1, 1, later), later)
 	require.NoError(t, err)
 }
 
-// The only engine with a model has failed a request. Asked for an adapter that the request
-// does not name, the leader could do nothing, and the caller would wait for it in vain.
-func TestRequestThatEveryHolderFailedIsNotAskedForAnAdapter(t *testing.T) {
+// The only engine with a model has failed a request that names no adapter. If Choose
+// reported a missing adapter, the leader could do nothing about it, and the caller would
+// wait in vain.
+func TestNoAdapterErrorWhenEveryEngineFailedTheRequest(t *testing.T) {
 	s, now := testAssigner("engines", 1), time.Now()
-	a := draft(1, 1, now)
-	a.Avoid = map[string]bool{"i-0": true}
-	_, err := s.Choose(a, now)
+	req := draftRequest(1, 1, now)
+	req.Avoid = map[string]bool{"i-0": true}
+	_, err := s.Choose(req, now)
 	require.ErrorIs(t, err, ErrNoUpstream)
 }
 
 // Other VMs keep one of two engines busy. Each report is some hundred milliseconds old and
-// tells of work that has been done since; new work has come instead. Taken for idle, the
-// engine would get as many requests as the one that is, and they would wait.
-func TestEngineThatOthersKeepBusyIsNotIdleBetweenReports(t *testing.T) {
+// contains work that has been done since; new work has arrived instead. If that engine
+// counted as idle, it would get as many requests as the idle one, and they would wait.
+func TestEngineBusyWithPeerRequestsIsNotIdleBetweenReports(t *testing.T) {
 	s, now := testAssigner("engines", 2), time.Now()
 	for i := range 12 {
 		busy := map[string]Load{"i-0": {Requests: 2, PrefillTokens: 9000}}
@@ -254,9 +255,9 @@
 		now = now.Add(250 * time.Millisecond)
 	}
 	for own := range 3 {
-		a := draft(own, own, now)
-		a.Parts, a.PromptTokens = nil, 600
-		c, err := s.Choose(a, now)
+		req := draftRequest(own, own, now)
+		req.Parts, req.PromptTokens = nil, 600
+		c, err := s.Choose(req, now)
 		require.NoError(t, err)
 		require.Equal(t, "i-1", c.Instance)
 	}
@@ -264,12 +265,12 @@
 		s.SetOthers("b", nil, now)
 		now = now.Add(250 * time.Millisecond)
 	}
-	require.Zero(t, s.Totals(now)["i-0"].PrefillTokens, "they have gone elsewhere")
+	require.Zero(t, s.Totals(now)["i-0"].PrefillTokens, "the other VM reports no work any more")
 }
 
-// Sixty VMs have heard the same of sixteen engines, a moment ago, and each has one chat to
-// send. By the same ranking they would all send it to the same engine, where most of them
-// would wait while others stand idle.
+// Sixty VMs have just received the same report about sixteen engines, and each has one chat
+// request to send. If all ranked the engines alike, they would all choose the same engine,
+// where most requests would wait while other engines are idle.
 func TestManyVMsDoNotAllChooseTheSameEngine(t *testing.T) {
 	now := time.Now()
 	got := map[string]int{}
@@ -281,10 +282,10 @@
 			busy[fmt.Sprint("i-", i)] = Load{Requests: 1, PrefillTokens: 500}
 		}
 		s.SetOthers("hub", busy, now)
-		a := draft(vm, vm, now)
-		a.Parts = Parts("m", "", []string{fmt.Sprint("own", vm)}, []int{600})
-		a.PromptTokens = 600
-		c, err := s.Choose(a, now)
+		req := draftRequest(vm, vm, now)
+		req.Parts = Parts("m", "", []string{fmt.Sprint("own", vm)}, []int{600})
+		req.PromptTokens = 600
+		c, err := s.Choose(req, now)
 		require.NoError(t, err)
 		got[c.Instance]++
 	}
@@ -292,18 +293,18 @@
 	for _, n := range got {
 		most = max(most, n)
 	}
-	require.Less(t, most, 20, "%v", got)
+	require.Less(t, most, 20, "requests by engine: %v", got)
 }
 
-// A caller asks for a model that the configuration does not know. No load will ever bring it,
-// so the answer comes at once; one for a model that can be loaded is held.
-func TestOnlyWhatCanComeIsWaitedFor(t *testing.T) {
+// A caller requests a model that is not in the configuration. It can never be loaded, so
+// the refusal comes at once; a request for a model that can be loaded is held.
+func TestOnlyLoadableModelsAreHeldFor(t *testing.T) {
 	s, now := testAssigner("engines", 1), time.Now()
 	s.SetContents("i-0", Contents{Orders: 1})
 	for model, waits := range map[string]bool{"m": true, "nobody-knows": false} {
-		a := draft(1, 1, now)
-		a.Model = model
-		_, err := s.Choose(a, now)
+		req := draftRequest(1, 1, now)
+		req.Model = model
+		_, err := s.Choose(req, now)
 		var refused *Refused
 		require.ErrorAs(t, err, &refused)
 		require.ErrorIs(t, err, ErrNotLoaded)
@@ -311,13 +312,13 @@
 	}
 }
 
-func TestPlacesAreGivenBack(t *testing.T) {
+func TestFinishReleasesPlaces(t *testing.T) {
 	s, now := testAssigner("engines", 3), time.Now()
 	var all []*Choice
 	for own := range 8 {
-		a := draft(own, own, now)
-		a.Adapter = ""
-		c, err := s.Choose(a, now)
+		req := draftRequest(own, own, now)
+		req.Adapter = ""
+		c, err := s.Choose(req, now)
 		require.NoError(t, err)
 		all = append(all, c)
 	}
@@ -339,7 +340,7 @@
 	s, now := testAssigner("engines", 18), time.Now()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		c, err := s.Choose(draft(i%76, i, now), now)
+		c, err := s.Choose(draftRequest(i%76, i, now), now)
 		if err != nil {
 			continue
 		}
--- a/internal/assign/choose.go
+++ b/internal/assign/choose.go
@@ -10,191 +10,193 @@
 )
 
 const (
-	// kvFill is the part of an engine's KV cache that requests in flight may take.
+	// maxKVShare is the part of an engine's KV cache that requests in flight may take.
 	// Beyond it an engine preempts requests in the middle of their streams.
-	kvFill = 0.85
-	// lateBacklog is how much work may wait at an engine that is given a request
-	// whose objective is missed already. The work is worth little, so it only fills
-	// gaps.
-	lateBacklog = 150 * time.Millisecond
-	// holdShare is the part of its objective for which a request may wait for a
-	// place before it is refused.
-	holdShare = 8
-	// loadShare is the same for a model or an adapter that is on no engine yet: either is
-	// brought as soon as it is asked for, from an engine's own disk within a second, and
-	// a caller who is refused comes back later than that.
-	loadShare = 2
-	// pacedShare is the same for a request that waits for engines to read what they have: its
-	// turn comes within a few prompts.
-	pacedShare = 2
-	// loadWait is what a caller is told whose model or adapter is on no engine: the
-	// time of a load from an engine's own disk.
-	loadWait = time.Second
-	// adapterWait is the same for an adapter that could not be brought at once.
-	adapterWait = 250 * time.Millisecond
-	// minRetry and maxRetry bound what callers are told to wait.
-	minRetry = 100 * time.Millisecond
-	maxRetry = 4 * time.Second
+	maxKVShare = 0.85
+	// maxLateBacklog is the largest backlog of an engine that is given a request whose
+	// objective is already missed. Such a request is worth little, so it only fills gaps.
+	maxLateBacklog = 150 * time.Millisecond
+	// holdDivisor sets how long a request may be held for a place before it is refused: its
+	// objective divided by this.
+	holdDivisor = 8
+	// loadHoldDivisor is the same for a model or an adapter that no engine holds yet.
+	// Either is loaded as soon as it is requested, from an engine's own disk within a
+	// second, and a caller who is refused would come back later than that.
+	loadHoldDivisor = 2
+	// pacedHoldDivisor is the same for a request that waits until the engines have
+	// prefilled what they have: its turn comes within a few prompts.
+	pacedHoldDivisor = 2
+	// loadRetryAfter is the retry delay for a model that no engine holds: the time of a
+	// load from an engine's own disk.
+	loadRetryAfter = time.Second
+	// adapterRetryAfter is the same for an adapter that could not be loaded at once.
+	adapterRetryAfter = 250 * time.Millisecond
+	// minRetryAfter and maxRetryAfter bound the retry delays returned to callers.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 4 * time.Second
 )
 
-// Choose finds a place for a request. The error is a *Refused.
-func (s *Assigner) Choose(a Ask, now time.Time) (*Choice, error) {
+// Choose reserves a place at an upstream for a request. The error is always a *Refused.
+func (s *Assigner) Choose(req Ask, now time.Time) (*Choice, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if a.Model == "" {
-		return s.choosePlain(a, now)
+	if req.Model == "" {
+		return s.choosePlain(req, now)
 	}
-	return s.chooseEngine(a, now)
+	return s.chooseEngine(req, now)
 }
 
-// choosePlain takes the instance with the least work for its speed.
-func (s *Assigner) choosePlain(a Ask, now time.Time) (*Choice, error) {
+// choosePlain chooses the instance with the least work for its speed, for a service without
+// engines.
+func (s *Assigner) choosePlain(req Ask, now time.Time) (*Choice, error) {
 	var best *node
 	bestCost := 0.0
 	for _, n := range s.nodes {
-		if n.instance.Service != a.Service || a.Avoid[n.instance.ID] || !n.ready(now) {
+		if n.instance.Service != req.Service || req.Avoid[n.instance.ID] || !n.ready(now) {
 			continue
 		}
-		cost := plainCost(n, now, a)
+		cost := plainCost(n, now, req)
 		if best == nil || cost < bestCost {
 			best, bestCost = n, cost
 		}
 	}
 	if best == nil {
-		best = s.lastResort(a, now)
+		best = s.lastResort(req, now)
 	}
 	if best == nil {
-		return nil, &Refused{Cause: ErrNoUpstream, RetryAfter: retryIn(now, a, 300*time.Millisecond)}
+		return nil, &Refused{Cause: ErrNoUpstream, RetryAfter: retryAfter(now, req, 300*time.Millisecond)}
 	}
-	return s.place(best, a, 0, plainExpected, now), nil
+	return s.place(best, req, 0, plainExpected, now), nil
 }
 
-// plainExpected is the time in which a plain service answers until more is known.
+// plainExpected is the assumed answer time of a service without engines.
 const plainExpected = 50 * time.Millisecond
 
-// plainCost ranks instances of a plain service: the share of its places taken,
-// worse for slow and failing ones. The draw by request keeps VMs that know nothing
-// of each other's last choices from all taking the same one.
-func plainCost(n *node, now time.Time, a Ask) float64 {
+// plainCost ranks the instances of a service without engines by the share of their places
+// that is taken, and ranks slow and failing ones lower. The jitter depends on the request,
+// so that VMs that do not know each other's latest choices do not all choose the same
+// instance.
+func plainCost(n *node, now time.Time, req Ask) float64 {
 	l := n.total(now, 0)
 	slots := float64(max(1, n.instance.Slots))
-	jitter := float64(xxhash.Sum64String(n.instance.ID+a.Start.String())%1024) / 1024 * 0.3
-	return (float64(l.requests)+0.5+jitter)/slots*n.slow + 2*n.failures
+	jitter := float64(xxhash.Sum64String(n.instance.ID+req.Start.String())%1024) / 1024 * 0.3
+	return (float64(l.requests)+0.5+jitter)/slots*n.slowness + 2*n.failures
 }
 
-// lastResort returns an instance that was left alone, for want of a better one:
-// a try has a chance, a refusal has none.
-func (s *Assigner) lastResort(a Ask, now time.Time) *node {
+// lastResort returns an ejected instance if no other can be chosen: a try may succeed, a
+// refusal cannot. It returns nil if there is none or it is unresponsive.
+func (s *Assigner) lastResort(req Ask, now time.Time) *node {
 	var best *node
 	for _, n := range s.nodes {
-		if n.instance.Service != a.Service || n.instance.Draining || a.Avoid[n.instance.ID] {
+		if n.instance.Service != req.Service || n.instance.Draining || req.Avoid[n.instance.ID] {
 			continue
 		}
-		if a.Model != "" && !n.holds(itemName(a.Model, a.Adapter)) {
+		if req.Model != "" && !n.holds(itemName(req.Model, req.Adapter)) {
 			continue
 		}
-		if best == nil || n.own.requests < best.own.requests {
+		if best == nil || n.local.requests < best.local.requests {
 			best = n
 		}
 	}
-	if best != nil && best.silent(now) {
+	if best != nil && best.unresponsive(now) {
 		return nil
 	}
 	return best
 }
 
-func (s *Assigner) chooseEngine(a Ask, now time.Time) (*Choice, error) {
-	candidates, err := s.candidates(a, now)
+func (s *Assigner) chooseEngine(req Ask, now time.Time) (*Choice, error) {
+	candidates, err := s.candidates(req, now)
 	if err != nil {
-		coming := (err == ErrNotLoaded || err == ErrAdapterNotLoaded) && s.canLoad(a)
-		return nil, &Refused{Cause: err, RetryAfter: retryIn(now, a, waitFor(err)), Wait: coming}
+		loadable := (err == ErrNotLoaded || err == ErrAdapterNotLoaded) && s.canLoad(req)
+		return nil, &Refused{Cause: err, RetryAfter: retryAfter(now, req, loadTimeFor(err)), Wait: loadable}
 	}
-	perToken, due := s.paceOf(a.Model).read, a.Start.Sub(now)
-	home := homeOf(candidates, a)
-	best := s.cheapest(s.sample(candidates, home, a), home, a, perToken, now)
+	perToken, due := s.speedOf(req.Model).prefillPerToken, req.Start.Sub(now)
+	preferred := preferredEngine(candidates, req)
+	best := s.cheapest(s.sample(candidates, preferred, req), preferred, req, perToken, now)
 	if best == nil || best.start > due {
-		best = s.cheapest(candidates, home, a, perToken, now)
+		best = s.cheapest(candidates, preferred, req, perToken, now)
 	}
 	if best == nil {
-		cause := s.causeOfNoOffer(candidates, home, a, perToken, now)
-		return nil, &Refused{Cause: cause, RetryAfter: retryIn(now, a, 500*time.Millisecond), Wait: true}
+		cause := s.rejectionCause(candidates, preferred, req, perToken, now)
+		return nil, &Refused{Cause: cause, RetryAfter: retryAfter(now, req, 500*time.Millisecond), Wait: true}
 	}
 	if best.start <= due {
-		return s.place(best.node, a, best.uncached, best.start, now), nil
+		return s.place(best.node, req, best.uncached, best.start, now), nil
 	}
-	left := a.Deadline.Sub(now)
-	backlog := time.Duration(best.node.total(now, perToken).prefill) * perToken
-	if best.start < left && (due <= 0 || best.start-backlog > due) && backlog <= lateBacklog {
-		c := s.place(best.node, a, best.uncached, best.start, now)
+	remaining := req.Deadline.Sub(now)
+	backlog := time.Duration(best.node.total(now, perToken).prefillTokens) * perToken
+	if best.start < remaining && (due <= 0 || best.start-backlog > due) && backlog <= maxLateBacklog {
+		c := s.place(best.node, req, best.uncached, best.start, now)
 		c.Late = true
 		return c, nil
 	}
 	return nil, &Refused{
-		Cause: ErrOverloaded, RetryAfter: retryIn(now, a, best.start-max(due, 0)), Wait: best.start < left, Best: best.start,
+		Cause: ErrOverloaded, RetryAfter: retryAfter(now, req, best.start-max(due, 0)), Wait: best.start < remaining, Best: best.start,
 	}
 }
 
-// causeOfNoOffer says why no engine makes an offer: all are full, or one has a place but its
-// streams would stand still.
-func (s *Assigner) causeOfNoOffer(engines []*node, home *node, a Ask, perToken time.Duration, now time.Time) error {
+// rejectionCause returns why no engine can take the request: all are full, or one has a
+// place but its streams would stall.
+func (s *Assigner) rejectionCause(engines []*node, preferred *node, req Ask, perToken time.Duration, now time.Time) error {
 	for _, n := range engines {
-		if s.hasPlace(n, a, s.uncached(n, a, n == home, now), n.total(now, perToken), now) {
+		if s.hasPlace(n, req, s.uncached(n, req, n == preferred, now), n.total(now, perToken), now) {
 			return ErrPaced
 		}
 	}
 	return ErrOverloaded
 }
 
-// hasPlace reports whether an engine with a load can take a request.
-func (s *Assigner) hasPlace(n *node, a Ask, uncached int, l load, now time.Time) bool {
-	return !now.Before(n.pausedUntil[a.Model]) && !s.full(l, a, uncached)
+// hasPlace reports whether an engine with the load l can take a request.
+func (s *Assigner) hasPlace(n *node, req Ask, uncached int, l load, now time.Time) bool {
+	return !now.Before(n.backoffUntil[req.Model]) && !s.full(l, req, uncached)
 }
 
 // canLoad reports whether engines of the service can load the request's model at all.
-func (s *Assigner) canLoad(a Ask) bool {
-	spec := s.spec(a.Service)
+func (s *Assigner) canLoad(req Ask) bool {
+	spec := s.spec(req.Service)
 	if spec == nil {
 		return false
 	}
-	_, ok := spec.Models[a.Model]
+	_, ok := spec.Models[req.Model]
 	return ok
 }
 
-// candidates are the engines that hold the item and take work.
-func (s *Assigner) candidates(a Ask, now time.Time) ([]*node, error) {
+// candidates returns the engines that hold the item and accept requests.
+func (s *Assigner) candidates(req Ask, now time.Time) ([]*node, error) {
 	var out []*node
-	item := itemName(a.Model, a.Adapter)
-	any, base := false, false
+	item := itemName(req.Model, req.Adapter)
+	hasInstance, holdsModel := false, false
 	for _, n := range s.nodes {
-		if n.instance.Service != a.Service || n.instance.Draining {
+		if n.instance.Service != req.Service || n.instance.Draining {
 			continue
 		}
-		any = true
-		base = base || (n.holds(a.Model) && n.ready(now))
-		if n.holds(item) && n.holds(a.Model) && n.ready(now) && !a.Avoid[n.instance.ID] {
+		hasInstance = true
+		holdsModel = holdsModel || (n.holds(req.Model) && n.ready(now))
+		if n.holds(item) && n.holds(req.Model) && n.ready(now) && !req.Avoid[n.instance.ID] {
 			out = append(out, n)
 		}
 	}
 	switch {
 	case len(out) > 0:
 		return out, nil
-	case !any:
+	case !hasInstance:
 		return nil, ErrNoUpstream
-	case !base:
-		if n := s.lastResort(a, now); n != nil {
+	case !holdsModel:
+		if n := s.lastResort(req, now); n != nil {
 			return []*node{n}, nil
 		}
 		return nil, ErrNotLoaded
-	case a.Adapter == "":
-		// All that hold the model have failed this request.
+	case req.Adapter == "":
+		// All engines that hold the model have failed this request.
 		return nil, ErrNoUpstream
 	}
 	return nil, ErrAdapterNotLoaded
 }
 
-// full reports whether an engine with a load has no place or no memory for the request.
-func (s *Assigner) full(l load, a Ask, uncached int) bool {
-	spec := s.spec(a.Service)
+// full reports whether an engine with the load l has no free batch slot or not enough KV
+// cache for the request.
+func (s *Assigner) full(l load, req Ask, uncached int) bool {
+	spec := s.spec(req.Service)
 	if spec == nil {
 		return false
 	}
@@ -202,7 +204,7 @@
 		return true
 	}
 	return spec.KVTokens > 0 && l.requests > 0 &&
-		float64(l.kv+uncached+a.OutputTokens) > kvFill*float64(spec.KVTokens)
+		float64(l.kvTokens+uncached+req.OutputTokens) > maxKVShare*float64(spec.KVTokens)
 }
 
 func (s *Assigner) spec(service string) *catalog.EngineSpec {
@@ -212,29 +214,31 @@
 	return s.catalog.Services[service].Engine
 }
 
-// waitFor is the usual time until an item is there that is not.
-func waitFor(err error) time.Duration {
+// loadTimeFor returns the usual time until the item that err reports as missing is loaded.
+func loadTimeFor(err error) time.Duration {
 	if err == ErrAdapterNotLoaded {
-		return adapterWait
+		return adapterRetryAfter
 	}
-	return loadWait
+	return loadRetryAfter
 }
 
-// retryIn is what a caller is told to wait: the time that is short, within bounds,
-// and never so long that nothing of its own time is left to be served in.
-func retryIn(now time.Time, a Ask, short time.Duration) time.Duration {
-	left := a.Deadline.Sub(now)
-	return max(minRetry, min(short, maxRetry, left/3))
+// retryAfter returns the retry delay for a caller: the shortfall, but at most a third of
+// the time left until the caller's deadline, so that some of it remains to be served in.
+// minRetryAfter and maxRetryAfter bound the result.
+func retryAfter(now time.Time, req Ask, shortfall time.Duration) time.Duration {
+	remaining := req.Deadline.Sub(now)
+	return max(minRetryAfter, min(shortfall, maxRetryAfter, remaining/3))
 }
 
-// HoldUntil is until when a request may be held that was refused for a cause.
-func (a *Ask) HoldUntil(arrived time.Time, cause error) time.Time {
-	objective := a.Start.Sub(arrived)
+// HoldUntil returns until when a request may be held after Choose refused it with cause.
+// arrived is when the request arrived.
+func (req *Ask) HoldUntil(arrived time.Time, cause error) time.Time {
+	objective := req.Start.Sub(arrived)
 	if errors.Is(cause, ErrPaced) {
-		return arrived.Add(objective / pacedShare)
+		return arrived.Add(objective / pacedHoldDivisor)
 	}
 	if errors.Is(cause, ErrNotLoaded) || errors.Is(cause, ErrAdapterNotLoaded) {
-		return arrived.Add(objective / loadShare)
+		return arrived.Add(objective / loadHoldDivisor)
 	}
-	return arrived.Add(objective / holdShare)
+	return arrived.Add(objective / holdDivisor)
 }
--- a/internal/assign/contents.go
+++ b/internal/assign/contents.go
@@ -6,46 +6,49 @@
 )
 
 // contents is what an engine holds, merged from three sources: the engine's own
-// description, which comes with its heartbeats and lags behind orders by up to a
-// second and more; what the leader learnt from answers to its orders; and what this
-// VM saw itself. Items are named "model" and "model/adapter".
+// description, which comes with its heartbeats and lags behind orders by up to a second and
+// sometimes more; what the leader learnt from answers to its orders; and what this VM
+// learnt itself. Items are named "model" and "model/adapter".
 type contents struct {
-	// own is what the engine described after ownOrders accepted orders.
-	own       map[string]bool
-	ownOrders int64
-	// led is what the leader knew after ledOrders accepted orders.
-	led       map[string]bool
-	ledOrders int64
-	// leaving are models that the leader has ordered the engine to unload. The unload
-	// waits for the requests that run, and until then the engine goes on to name the
-	// model, but it turns every new request for it away. Sent there all the same, a
-	// request costs a round trip and a repeat out of the retry budget.
+	// engineItems are the items in the engine's own description, made after it had accepted
+	// engineOrders orders.
+	engineItems  map[string]bool
+	engineOrders int64
+	// leaderItems are the items in the leader's record, made after the engine had accepted
+	// leaderOrders orders.
+	leaderItems  map[string]bool
+	leaderOrders int64
+	// leaving are models that the leader has ordered the engine to unload. The unload waits
+	// for running requests, and until then the engine still lists the model but rejects
+	// every new request for it. A request that is sent there costs a round trip and a retry
+	// from the retry budget.
 	leaving map[string]bool
-	// added and missing are what this VM learnt since from the leader's answers and
-	// from refusals.
+	// added and missing are the items that this VM has since learnt of from the leader's
+	// answers and from rejections.
 	added, missing map[string]bool
-	// items is the result.
+	// items is the merged result.
 	items map[string]bool
 }
 
-// described takes the engine's own description.
-func (c *contents) described(orders int64, items []string) {
+// setEngineItems applies the engine's own description.
+func (c *contents) setEngineItems(orders int64, items []string) {
 	next := setOf(items)
-	if orders == c.ownOrders && maps.Equal(next, c.own) {
+	if orders == c.engineOrders && maps.Equal(next, c.engineItems) {
 		return
 	}
-	c.own, c.ownOrders = next, orders
+	c.engineItems, c.engineOrders = next, orders
 	clear(c.missing)
 	c.merge()
 }
 
-// reported takes what the leader knows, and returns whether that is new.
-func (c *contents) reported(k Contents) (changed bool) {
+// setLeaderItems applies the leader's record and reports whether it differs from the
+// previous one.
+func (c *contents) setLeaderItems(k Contents) (changed bool) {
 	next, leaving := setOf(k.Items), setOf(k.Leaving)
-	if k.Orders == c.ledOrders && maps.Equal(next, c.led) && maps.Equal(leaving, c.leaving) {
+	if k.Orders == c.leaderOrders && maps.Equal(next, c.leaderItems) && maps.Equal(leaving, c.leaving) {
 		return false
 	}
-	c.led, c.ledOrders, c.leaving = next, k.Orders, leaving
+	c.leaderItems, c.leaderOrders, c.leaving = next, k.Orders, leaving
 	clear(c.added)
 	clear(c.missing)
 	c.merge()
@@ -58,29 +61,30 @@
 	c.merge()
 }
 
-func (c *contents) miss(item string) {
+func (c *contents) remove(item string) {
 	c.missing[item] = true
 	delete(c.added, item)
 	c.merge()
 }
 
-// merge believes whoever has seen more orders. At the same number of orders an item
-// may have come since either of them looked, so both count.
+// merge uses the source that covers more orders. If both cover the same number, an item may
+// have been added after either was made, so both count.
 func (c *contents) merge() {
 	c.items = make(map[string]bool)
-	if c.ownOrders >= c.ledOrders {
-		maps.Copy(c.items, c.own)
+	if c.engineOrders >= c.leaderOrders {
+		maps.Copy(c.items, c.engineItems)
 	}
-	if c.ledOrders >= c.ownOrders {
-		maps.Copy(c.items, c.led)
+	if c.leaderOrders >= c.engineOrders {
+		maps.Copy(c.items, c.leaderItems)
 	}
 	maps.Copy(c.items, c.added)
 	for item := range c.missing {
 		delete(c.items, item)
 	}
-	if c.ownOrders <= c.ledOrders+1 {
-		// The leader names a model as leaving before it orders the unload, so the engine's
-		// own description may count that one order more. Two more, and the unload is done.
+	if c.engineOrders <= c.leaderOrders+1 {
+		// The leader lists a model as leaving before it orders the unload, so the engine's
+		// own description may count that one order more. If it counts two more, the unload
+		// is done.
 		c.removeLeaving()
 	}
 }
@@ -102,7 +106,7 @@
 	return out
 }
 
-// itemName is the name of a model or of one of its adapters.
+// itemName returns the name of a model, or of one of its adapters.
 func itemName(model, adapter string) string {
 	if adapter == "" {
 		return model
--- a/internal/assign/doc.go
+++ b/internal/assign/doc.go
@@ -1,15 +1,16 @@
-// Package assign decides which upstream a request goes to, and whether it goes at
-// all. It does no I/O and reads no clock: requests, answers and reports go in with
-// the present time, choices come out.
+// Package assign decides which upstream a request is sent to, and whether it is sent at
+// all. It does no I/O and reads no clock: requests, answers and reports are passed in with
+// the present time, and choices are returned.
 //
-// The load it answers: many callers at once before few engines. A prompt of some
-// nine thousand tokens takes an engine a quarter of a second unless the engine
-// still keeps the prompt's shared parts, so a request goes where its parts are
-// kept until the work that waits there outweighs that. What cannot be begun
-// within its objective is refused at once, since an engine that reads prompts
-// nobody waits for any more makes the next ones late as well.
+// The package is built for many concurrent callers and few engines. A prompt of about nine
+// thousand tokens takes an engine a quarter of a second unless the prompt's shared prefixes
+// are in the engine's prefix cache, so a request goes where its prefixes are cached until
+// the backlog there outweighs the saving. What cannot start within its objective is refused
+// at once, since an engine that prefills prompts whose callers have given up delays the
+// next ones as well.
 //
-// A stream also has to keep its pace. An engine reads prompts between the steps that make
-// the tokens of its streams, so several prompts at once make all of them stand still; they
-// are sent one after the other, by what all VMs have given the engine to read.
+// A stream also has to keep the time between its events short. An engine prefills prompts
+// between the steps that generate the tokens of its streams, so several prompts at once
+// stall all of them. Prompts are therefore sent one after the other, paced by the prefill
+// work that all VMs have given the engine.
 package assign
--- a/internal/assign/node.go
+++ b/internal/assign/node.go
@@ -9,106 +9,109 @@
 )
 
 const (
-	// failureMemory is the weight that an answer keeps in the failure rate: about
-	// the last five answers decide, so that an instance which fails half of its
-	// requests is left within a second at ten requests a second.
-	failureMemory = 0.8
-	// ejectAbove is the failure rate from which an instance is left alone. A sound
+	// failureSmoothing is the weight of the previous failure rate when an answer is added:
+	// about the last five answers decide, so that an instance which fails half of its
+	// requests is ejected within a second at ten requests a second.
+	failureSmoothing = 0.8
+	// ejectionThreshold is the failure rate from which an instance is ejected. A healthy
 	// service fails up to 0.15 of some kinds of request.
-	ejectAbove = 0.45
-	// ejectFirst and ejectMost bound the time for which it is left alone. It
-	// doubles with every time in a row.
-	ejectFirst = 700 * time.Millisecond
-	ejectMost  = 6 * time.Second
-	// slowMemory is the weight that an observation keeps in the slowness of an
-	// instance, slowMost the largest slowness believed.
-	slowMemory = 0.7
-	slowMost   = 12.0
-	// refusalPause is how long an engine that turned a request away gets no more for
-	// that model from this VM: about the time until a report of the leader or of the
-	// engine tells why.
-	refusalPause = 300 * time.Millisecond
+	ejectionThreshold = 0.45
+	// minEjection and maxEjection bound the time of an ejection. It doubles with every
+	// consecutive ejection.
+	minEjection = 700 * time.Millisecond
+	maxEjection = 6 * time.Second
+	// slownessSmoothing is the weight of the previous slowness of an instance when an
+	// observation is added, maxSlowness the largest observation that is used.
+	slownessSmoothing = 0.7
+	maxSlowness       = 12.0
+	// rejectionBackoff is how long an engine that rejected a request gets no more requests
+	// for that model from this VM: about the time until a report of the leader or of the
+	// engine gives the reason.
+	rejectionBackoff = 300 * time.Millisecond
 )
 
-// node is what is known of one instance.
+// node is the state of one upstream instance.
 type node struct {
 	instance upstream.Instance
-	// contents says what an engine holds.
+	// contents is what an engine holds.
 	contents contents
 
-	// own is the work of this VM, others that of the other VMs by VM.
-	own    load
-	others map[string]reported
+	// local is the work of this VM at the instance, peers that of the other VMs by VM.
+	local load
+	peers map[string]peerLoad
 
-	// failures is the rate of failed answers.
+	// failures is the smoothed rate of failed answers.
 	failures     float64
 	ejectedUntil time.Time
 	ejections    int
-	// slow is by how much work takes longer than expected.
-	slow float64
-	// waiting holds the choices that have had no sign of life yet.
-	waiting map[*Choice]struct{}
-	// heard is when the instance last gave a sign of life.
-	heard time.Time
+	// slowness is the factor by which work takes longer than expected.
+	slowness float64
+	// unanswered holds the choices in flight whose first event has not arrived.
+	unanswered map[*Choice]struct{}
+	// lastActivity is when the instance last sent anything for a request of this VM.
+	lastActivity time.Time
 	// running counts this VM's requests in flight by model.
 	running map[string]int
-	// pausedUntil says until when the engine gets no requests for a model, after it has
-	// turned one away.
-	pausedUntil map[string]time.Time
-	// readings is the reading that all VMs gave it lately, oldest first; readTotal what this
-	// VM gave it since the start, readTotals what the others told.
-	readings   []reading
-	readTotal  time.Duration
-	readTotals map[string]time.Duration
-	// cached holds the parts of prompts that the engine was sent, with the time.
+	// backoffUntil holds by model until when the engine gets no requests, after it has
+	// rejected one.
+	backoffUntil map[string]time.Time
+	// prefills is the prefill work that all VMs gave the engine lately, oldest first.
+	// prefillTotal is what this VM gave it since the start, peerPrefillTotals what the
+	// other VMs last reported.
+	prefills          []prefillEntry
+	prefillTotal      time.Duration
+	peerPrefillTotals map[string]time.Duration
+	// cached holds the hashes of the prompt prefixes that the engine was sent, with the
+	// time of their last use.
 	cached map[uint64]time.Time
 }
 
 // load is work in flight.
 type load struct {
-	requests int
-	prefill  int
-	kv       int
+	requests      int
+	prefillTokens int
+	kvTokens      int
 }
 
-type reported struct {
+type peerLoad struct {
 	load
 	running map[string]int
-	// mean is the average of the reported prefill, in tokens.
-	mean float64
-	at   time.Time
+	// meanPrefill is the average of the reported prefill backlog, in tokens.
+	meanPrefill float64
+	receivedAt  time.Time
 }
 
 const (
-	// meanMemory is the time over which reported work is averaged: a few reports, less
-	// than the time in which demand moves.
-	meanMemory = 1500 * time.Millisecond
-	// leastMean is the average in tokens below which another VM counts as idle.
-	leastMean = 50.0
+	// meanTimeConstant is the time constant of the average of reported work: a few reports,
+	// and shorter than the time in which demand changes.
+	meanTimeConstant = 1500 * time.Millisecond
+	// minMeanPrefill is the average in tokens below which another VM counts as idle at the
+	// instance.
+	minMeanPrefill = 50.0
 )
 
-// meanWith returns the average with one more report.
-func (r reported) meanWith(prefill int, now time.Time) float64 {
-	if r.at.IsZero() {
+// updatedMean returns the average including one more report.
+func (r peerLoad) updatedMean(prefill int, now time.Time) float64 {
+	if r.receivedAt.IsZero() {
 		return float64(prefill)
 	}
-	kept := math.Exp(-now.Sub(r.at).Seconds() / meanMemory.Seconds())
-	return float64(prefill) + kept*(r.mean-float64(prefill))
+	weight := math.Exp(-now.Sub(r.receivedAt).Seconds() / meanTimeConstant.Seconds())
+	return float64(prefill) + weight*(r.meanPrefill-float64(prefill))
 }
 
 func newNode(i upstream.Instance) *node {
 	n := &node{
 		contents: contents{added: make(map[string]bool), missing: make(map[string]bool)},
-		others:   make(map[string]reported), slow: 1,
-		waiting: make(map[*Choice]struct{}), cached: make(map[uint64]time.Time),
-		running: make(map[string]int), pausedUntil: make(map[string]time.Time), readTotals: make(map[string]time.Duration),
+		peers:    make(map[string]peerLoad), slowness: 1,
+		unanswered: make(map[*Choice]struct{}), cached: make(map[uint64]time.Time),
+		running: make(map[string]int), backoffUntil: make(map[string]time.Time), peerPrefillTotals: make(map[string]time.Duration),
 	}
-	n.describe(i)
+	n.update(i)
 	return n
 }
 
-// describe takes a newer description of the same incarnation.
-func (n *node) describe(i upstream.Instance) {
+// update applies a newer description of the same incarnation.
+func (n *node) update(i upstream.Instance) {
 	same := n.instance.HoldsSame(&i)
 	n.instance = i
 	if same {
@@ -121,28 +124,28 @@
 			items = append(items, itemName(l.Model, a))
 		}
 	}
-	n.contents.described(i.OrdersAccepted, items)
+	n.contents.setEngineItems(i.OrdersAccepted, items)
 }
 
 func (n *node) holds(item string) bool { return n.contents.items[item] }
 
-// ready reports whether the instance may get work: it does not leave, has not
-// failed too often, and is not silent.
+// ready reports whether the instance may get requests: it is not draining, not ejected, and
+// not unresponsive.
 func (n *node) ready(now time.Time) bool {
-	return !n.instance.Draining && !now.Before(n.ejectedUntil) && !n.silent(now)
+	return !n.instance.Draining && !now.Before(n.ejectedUntil) && !n.unresponsive(now)
 }
 
-// silent reports whether requests have waited far longer than expected without
-// any sign of life from the instance. An instance that has gone dark sends no
-// reset: every request sent to it would be lost until its entry disappears after
-// three heartbeats.
-func (n *node) silent(now time.Time) bool {
-	for c := range n.waiting {
-		allowed := 3*c.Expected + silenceFloor
-		if c.ask.Model == "" {
-			allowed = plainSilence
+// unresponsive reports whether a request has waited far longer than expected while nothing
+// at all came from the instance. An instance that has lost power or its network sends no
+// reset: every request sent to it would be lost until its entry disappears after three
+// heartbeats.
+func (n *node) unresponsive(now time.Time) bool {
+	for c := range n.unanswered {
+		allowed := 3*c.Expected + engineSilenceMargin
+		if c.request.Model == "" {
+			allowed = plainSilenceLimit
 		}
-		if now.Sub(c.at) > allowed && now.Sub(n.heard) > allowed {
+		if now.Sub(c.placedAt) > allowed && now.Sub(n.lastActivity) > allowed {
 			return true
 		}
 	}
@@ -150,66 +153,68 @@
 }
 
 const (
-	// silenceFloor is how long an engine may say nothing beyond three times the
+	// engineSilenceMargin is how long an engine may send nothing, beyond three times the
 	// expected time to the first event.
-	silenceFloor = 600 * time.Millisecond
-	// plainSilence is the same for plain services: some ten times the usual work
-	// of 15 to 60 ms, below the shortest wait of a caller.
-	plainSilence = 400 * time.Millisecond
+	engineSilenceMargin = 600 * time.Millisecond
+	// plainSilenceLimit is the limit for services without engines: some ten times the usual
+	// work of 15 to 60 ms, and below the shortest time for which a caller waits.
+	plainSilenceLimit = 400 * time.Millisecond
 )
 
-// succeeded and failed take in how an exchange ended; failed reports whether the
-// instance is left alone from now on.
-func (n *node) succeeded(now time.Time) {
-	n.heard = now
-	n.failures *= failureMemory
-	if n.failures < ejectAbove/2 {
+// recordSuccess and recordFailure record how an exchange ended. recordFailure reports
+// whether the instance is ejected from now on.
+func (n *node) recordSuccess(now time.Time) {
+	n.lastActivity = now
+	n.failures *= failureSmoothing
+	if n.failures < ejectionThreshold/2 {
 		n.ejections = 0
 	}
 }
 
-func (n *node) failed(now time.Time) (ejected bool) {
-	n.failures = n.failures*failureMemory + (1 - failureMemory)
-	if n.failures < ejectAbove {
+func (n *node) recordFailure(now time.Time) (ejected bool) {
+	n.failures = n.failures*failureSmoothing + (1 - failureSmoothing)
+	if n.failures < ejectionThreshold {
 		return false
 	}
-	pause := ejectFirst << min(n.ejections, 4)
+	duration := minEjection << min(n.ejections, 4)
 	n.ejections++
-	n.ejectedUntil = now.Add(min(pause, ejectMost))
-	// One more failure after the pause ejects it again; one success halves the rate.
-	n.failures = ejectAbove - 0.1
+	n.ejectedUntil = now.Add(min(duration, maxEjection))
+	// One more failure after the ejection raises the rate to 0.48 and ejects the instance
+	// again; one success lowers it to 0.28.
+	n.failures = ejectionThreshold - 0.1
 	return true
 }
 
-// total is the work of all VMs on the instance. What others reported shrinks by
-// the time since, at the pace at which the engine reads prompts.
+// total returns the work of all VMs at the instance. The prefill backlog that others
+// reported is reduced by what the engine has prefilled since the report.
 func (n *node) total(now time.Time, perToken time.Duration) load {
-	sum := n.own
-	for _, r := range n.others {
-		age := now.Sub(r.at)
+	sum := n.local
+	for _, r := range n.peers {
+		age := now.Sub(r.receivedAt)
 		if age > reportLifetime {
 			continue
 		}
-		read := 0
+		completed := 0
 		if perToken > 0 {
-			read = int(age / perToken)
+			completed = int(age / perToken)
 		}
-		sum.prefill += max(0, r.prefill-read)
+		sum.prefillTokens += max(0, r.prefillTokens-completed)
 		sum.requests += r.requests
-		sum.kv += r.kv
+		sum.kvTokens += r.kvTokens
 	}
 	return sum
 }
 
-// usual is the work of other VMs on the instance as it is on average, in tokens. Among many
-// VMs a report is up to a second old; what it told of has been read since, and new work has
-// come that nobody has heard of yet. By total alone an engine looks idle then, and gets as
-// much as one that is. It ranks engines and refuses nothing.
-func (n *node) usual(now time.Time) int {
+// meanPeerPrefill returns the average prefill backlog of other VMs at the instance, in
+// tokens. Among many VMs a report is up to a second old: the reported work is already
+// prefilled, and new work has arrived that is not reported yet. By total alone such an
+// engine looks idle and would get as many requests as one that is idle. The average only
+// ranks engines; no request is refused because of it.
+func (n *node) meanPeerPrefill(now time.Time) int {
 	sum := 0.0
-	for _, r := range n.others {
-		if now.Sub(r.at) <= reportLifetime {
-			sum += r.mean
+	for _, r := range n.peers {
+		if now.Sub(r.receivedAt) <= reportLifetime {
+			sum += r.meanPrefill
 		}
 	}
 	return int(sum)
@@ -218,8 +223,8 @@
 // totalRunning counts the requests in flight of all VMs by model.
 func (n *node) totalRunning(now time.Time) map[string]int {
 	sum := maps.Clone(n.running)
-	for _, r := range n.others {
-		if now.Sub(r.at) > reportLifetime {
+	for _, r := range n.peers {
+		if now.Sub(r.receivedAt) > reportLifetime {
 			continue
 		}
 		for model, count := range r.running {
@@ -229,14 +234,15 @@
 	return sum
 }
 
-// reportLifetime is how long another VM's report counts: a few reports, so that
+// reportLifetime is how long another VM's report counts: a few report intervals, so that
 // the work of a VM that died does not block an engine.
 const reportLifetime = 2 * time.Second
 
-// cachedTokens is how much of a prompt the engine is believed to keep.
-func (n *node) cachedTokens(a Ask, now time.Time) int {
+// cachedTokens returns how many leading tokens of a prompt are expected to be in the
+// engine's prefix cache.
+func (n *node) cachedTokens(req Ask, now time.Time) int {
 	best := 0
-	for _, p := range a.Parts {
+	for _, p := range req.Parts {
 		at, ok := n.cached[p.Hash]
 		if !ok || now.Sub(at) > cacheLifetime {
 			break
@@ -247,30 +253,30 @@
 }
 
 const (
-	// cacheLifetime is how long parts are believed to be kept after their last use.
-	// An engine drops what was used least recently; at the usual load its memory
-	// turns over in some tens of seconds.
+	// cacheLifetime is how long prefixes are assumed to stay cached after their last use.
+	// An engine evicts the least recently used; at the usual load its cache turns over in
+	// some tens of seconds.
 	cacheLifetime = 20 * time.Second
-	// maxCached bounds the parts remembered for an engine.
-	maxCached = 4096
+	// maxCachedPrefixes bounds the number of prefixes recorded for an engine.
+	maxCachedPrefixes = 4096
 )
 
-func (n *node) remember(a Ask, now time.Time) {
-	if len(n.cached) > maxCached {
-		n.forgetOld(now)
+func (n *node) recordPrefixes(req Ask, now time.Time) {
+	if len(n.cached) > maxCachedPrefixes {
+		n.evictPrefixes(now)
 	}
-	for _, p := range a.Parts {
+	for _, p := range req.Parts {
 		n.cached[p.Hash] = now
 	}
 }
 
-func (n *node) forgetOld(now time.Time) {
+func (n *node) evictPrefixes(now time.Time) {
 	for hash, at := range n.cached {
 		if now.Sub(at) > cacheLifetime/2 {
 			delete(n.cached, hash)
 		}
 	}
-	if len(n.cached) > maxCached {
+	if len(n.cached) > maxCachedPrefixes {
 		n.cached = make(map[uint64]time.Time)
 	}
 }
--- a/internal/assign/pacing.go
+++ b/internal/assign/pacing.go
@@ -5,92 +5,96 @@
 )
 
 const (
-	// pauseFill is the part of a route's pause objective that the steps and the reading
-	// between two events of a stream may take.
-	pauseFill = 0.75
-	// pacedFrom is the part of streams with pauses that are too long from which prompts are
-	// sent by the pace of reading, pacedUntil the part below which they no longer are. Engines
-	// that read prompts in small pieces between their steps make few such pauses, and
-	// holding prompts back there would serve nobody.
-	pacedFrom  = 0.02
-	pacedUntil = 0.0005
-	// pausesMemory is the weight that the streams before keep in that part.
-	pausesMemory = 0.99
+	// maxGapShare is the part of a route's objective for the time between two events that
+	// the steps and the prefill between them may take.
+	maxGapShare = 0.75
+	// pacingOnShare is the part of stalled streams from which prompts are paced by prefill
+	// work, pacingOffShare the part below which pacing ends. Engines that prefill prompts
+	// in small chunks between their steps cause few stalls, and holding prompts back there
+	// has no benefit.
+	pacingOnShare  = 0.02
+	pacingOffShare = 0.0005
+	// stallSmoothing is the weight of the previous share of stalled streams when a stream
+	// is added.
+	stallSmoothing = 0.99
 )
 
-// pausing is what is known of the pauses of a service's streams.
-type pausing struct {
-	// share is the part of them that paused too long of late.
-	share float64
-	paced bool
+// stallStats holds the stall statistics of a service's streams.
+type stallStats struct {
+	// stalledShare is the smoothed part of streams that stalled for too long.
+	stalledShare float64
+	pacing       bool
 }
 
-// noteStream takes in whether a stream of a service had a pause that was too long.
-func (s *Assigner) noteStream(service string, paused bool) {
-	p := s.pausing[service]
-	p.share *= pausesMemory
-	if paused {
-		p.share += 1 - pausesMemory
+// recordStall records whether a stream of a service stalled for too long.
+func (s *Assigner) recordStall(service string, stalled bool) {
+	p := s.stallStats[service]
+	p.stalledShare *= stallSmoothing
+	if stalled {
+		p.stalledShare += 1 - stallSmoothing
 	}
 	switch {
-	case p.share >= pacedFrom:
-		p.paced = true
-	case p.share < pacedUntil:
-		p.paced = false
+	case p.stalledShare >= pacingOnShare:
+		p.pacing = true
+	case p.stalledShare < pacingOffShare:
+		p.pacing = false
 	}
-	s.pausing[service] = p
+	s.stallStats[service] = p
 }
 
-// stalls reports whether the streams of an engine would stand still for too long if it read
-// so many more tokens now. An engine reads the prompts that have come between two steps, so
-// that an event waits for the steps of its tokens and for all prompts that come meanwhile.
-// One prompt is always let through.
-func (s *Assigner) stalls(n *node, a Ask, uncached int, now time.Time) bool {
-	spec := s.spec(a.Service)
-	if a.Pause == 0 || spec == nil || !s.pausing[a.Service].paced {
+// wouldStall reports whether the streams of an engine would stall for too long if it
+// prefilled so many more tokens now. An engine prefills the prompts that have arrived
+// between two steps, so an event waits for the steps of its tokens and for all prompts that
+// arrive meanwhile. One prompt is always let through.
+func (s *Assigner) wouldStall(n *node, req Ask, uncached int, now time.Time) bool {
+	spec := s.spec(req.Service)
+	if req.Pause == 0 || spec == nil || !s.stallStats[req.Service].pacing {
 		return false
 	}
-	read := n.readSince(now.Add(-a.Pause))
-	if read == 0 {
+	prefill := n.prefillSince(now.Add(-req.Pause))
+	if prefill == 0 {
 		return false
 	}
-	p := s.paceOf(a.Model)
+	p := s.speedOf(req.Model)
 	steps := time.Duration(max(1, spec.TokensPerEvent)) * p.step
-	return steps+read+time.Duration(uncached)*p.read > time.Duration(pauseFill*float64(a.Pause))
+	return steps+prefill+time.Duration(uncached)*p.prefillPerToken > time.Duration(maxGapShare*float64(req.Pause))
 }
 
-// reading is the reading of prompts that an engine was given, in engine time.
-type reading struct {
-	at   time.Time
-	took time.Duration
+// prefillEntry is prefill work that an engine was given, in engine time.
+type prefillEntry struct {
+	at       time.Time
+	duration time.Duration
 }
 
-// noteReading remembers reading for as long as streams may stand still for it.
-func (n *node) noteReading(took time.Duration, now time.Time) {
-	for len(n.readings) > 0 && now.Sub(n.readings[0].at) > reportLifetime {
-		n.readings = n.readings[1:]
+// recordPrefill adds prefill work. Entries are kept for reportLifetime, as long as streams
+// may stall because of them.
+func (n *node) recordPrefill(duration time.Duration, now time.Time) {
+	for len(n.prefills) > 0 && now.Sub(n.prefills[0].at) > reportLifetime {
+		n.prefills = n.prefills[1:]
 	}
-	n.readings = append(n.readings, reading{at: now, took: took})
+	n.prefills = append(n.prefills, prefillEntry{at: now, duration: duration})
 }
 
-// readSince is the reading that came since a time, of all VMs as far as they have told.
-func (n *node) readSince(from time.Time) time.Duration {
+// prefillSince returns the prefill work given to the engine since from, by all VMs as far
+// as they have reported it.
+func (n *node) prefillSince(from time.Time) time.Duration {
 	var sum time.Duration
-	for i := len(n.readings) - 1; i >= 0 && n.readings[i].at.After(from); i-- {
-		sum += n.readings[i].took
+	for i := len(n.prefills) - 1; i >= 0 && n.prefills[i].at.After(from); i-- {
+		sum += n.prefills[i].duration
 	}
 	return sum
 }
 
-// hearReading takes the reading that another VM has given to the engine since its start.
-// What it told may overtake each other; a total that is much lower is of a new start.
-func (n *node) hearReading(vm string, total time.Duration, now time.Time) {
-	before, known := n.readTotals[vm]
+// recordPeerPrefill applies another VM's total of the prefill work that it has given to the
+// engine since its start. Reports may arrive out of order, so a slightly lower total is
+// ignored; a much lower total means that the VM has restarted.
+func (n *node) recordPeerPrefill(vm string, total time.Duration, now time.Time) {
+	before, known := n.peerPrefillTotals[vm]
 	if known && total < before && before-total < reportLifetime {
 		return
 	}
-	n.readTotals[vm] = total
+	n.peerPrefillTotals[vm] = total
 	if known && total > before {
-		n.noteReading(total-before, now)
+		n.recordPrefill(total-before, now)
 	}
 }
--- a/internal/assign/types.go
+++ b/internal/assign/types.go
@@ -7,39 +7,41 @@
 )
 
 var (
-	// ErrNoUpstream means that no instance of the service takes work.
+	// ErrNoUpstream means that no instance of the service accepts requests.
 	ErrNoUpstream = errors.New("assign: no upstream takes work")
 	// ErrNotLoaded means that no engine holds the model.
 	ErrNotLoaded = errors.New("assign: no engine holds the model")
 	// ErrAdapterNotLoaded means that engines hold the model but none the adapter.
 	ErrAdapterNotLoaded = errors.New("assign: no engine holds the adapter")
-	// ErrPaced means that streams of the engines would stand still too long if they read the
-	// prompt now.
-	ErrPaced = errors.New("assign: the engines read as many prompts as their streams can bear")
-	// ErrOverloaded means that the work would begin too late to be of use.
-	ErrOverloaded = errors.New("assign: the upstreams have too much to do")
+	// ErrPaced means that streams of the engines would stall for too long if the engines
+	// prefilled the prompt now.
+	ErrPaced = errors.New("assign: prefilling the prompt now would stall the streams of every engine with a free place")
+	// ErrOverloaded means that all upstreams are full, or that the request would start too
+	// late to meet its objective.
+	ErrOverloaded = errors.New("assign: all upstreams are full or would start the request too late")
 )
 
-// Refused says why nothing was chosen and when to come back.
+// Refused is the error of Choose: it says why no upstream was chosen and when to try again.
 type Refused struct {
 	// Cause is one of this package's errors.
 	Cause error
-	// RetryAfter is when another try has a chance.
+	// RetryAfter is the delay after which another try may succeed.
 	RetryAfter time.Duration
-	// Wait means that a place may become free within the time that a request may
-	// be held: try again soon.
+	// Wait means that a place may become free within the time for which the request may be
+	// held: try again soon.
 	Wait bool
-	// Best is the earliest start that was found, for logs.
+	// Best is the earliest start that was found, as the time from now to the first event.
+	// It is for logs.
 	Best time.Duration
 }
 
-// Error implements error.
+// Error returns the message of the cause.
 func (r *Refused) Error() string { return r.Cause.Error() }
 
 // Unwrap returns the cause.
 func (r *Refused) Unwrap() error { return r.Cause }
 
-// Part is a leading part of a prompt: a hash over everything up to its end and the
+// Part is a prefix of a prompt: a hash of everything up to its end, and the number of
 // tokens up to there.
 type Part struct {
 	Hash   uint64
@@ -49,51 +51,53 @@
 // Ask is a request that needs an upstream.
 type Ask struct {
 	Service string
-	// Model is empty for plain services.
+	// Model is empty for services without engines.
 	Model, Adapter string
-	// Parts are the leading parts of the prompt, shortest first, the whole prompt last.
+	// Parts are the prefixes of the prompt, shortest first, the whole prompt last.
 	Parts        []Part
 	PromptTokens int
 	OutputTokens int
-	// Start is when the first event, or a plain service's answer, is due.
+	// Start is when the first event is due, or the answer of a service without engines.
 	Start time.Time
-	// Pause is the longest time between two events of the answer, 0 if that is not bounded.
+	// Pause is the longest allowed time between two events of the answer, 0 if it is not
+	// bounded.
 	Pause time.Duration
 	// Deadline is when the caller gives up.
 	Deadline time.Time
-	// Urgency is the request's rank, 0 first.
+	// Urgency is the request's priority rank; 0 is the most urgent.
 	Urgency int
 	// Avoid names instances that failed this request.
 	Avoid map[string]bool
 }
 
-// Beside is the work that was known of at an upstream when it was chosen.
+// Beside is the work known to be at an upstream when it was chosen.
 type Beside struct {
-	// Requests are those in flight, Others those of them that other VMs reported.
+	// Requests is the number of requests in flight, Others how many of them other VMs
+	// reported.
 	Requests, Others int
-	// PrefillTokens are the prompt tokens that waited to be read.
+	// PrefillTokens is the number of prompt tokens that were waiting to be prefilled.
 	PrefillTokens int
-	// ReportAge is the age of the oldest report that counts, 0 if there is none.
+	// ReportAge is the age of the oldest report that is counted, 0 if there is none.
 	ReportAge time.Duration
 }
 
-// Choice is a place at an upstream. It must be finished.
+// Choice is a reserved place at an upstream. Every Choice must be passed to Finish.
 type Choice struct {
 	// Instance is the ID of the upstream.
 	Instance string
-	// Uncached is how many prompt tokens the engine is expected to read.
+	// Uncached is how many prompt tokens the engine is expected to prefill.
 	Uncached int
-	// Expected is the time to the first event that was worked out.
+	// Expected is the expected time from the choice to the first event.
 	Expected time.Duration
 	// Late means that the objective can no longer be met.
 	Late bool
-	// Beside is the work at the upstream that was known of when it was chosen.
+	// Beside is the work known to be at the upstream when it was chosen.
 	Beside Beside
 
-	node    *node
-	ask     Ask
-	at      time.Time
-	kv      int
-	started bool
-	done    bool
+	node     *node
+	request  Ask
+	placedAt time.Time
+	kvTokens int
+	started  bool
+	done     bool
 }
--- a/internal/assign/work.go
+++ b/internal/assign/work.go
@@ -6,43 +6,44 @@
 	"time"
 )
 
-// SetOthers takes another VM's report of its work by instance.
+// SetOthers applies another VM's report of its work by instance. An instance that is
+// missing from it has no work of that VM.
 func (s *Assigner) SetOthers(vm string, loads map[string]Load, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, n := range s.nodes {
 		l, ok := loads[id]
 		if ok {
-			n.hearReading(vm, l.ReadTotal, now)
+			n.recordPeerPrefill(vm, l.ReadTotal, now)
 		}
-		if !ok && n.others[vm].meanWith(l.PrefillTokens, now) < leastMean {
-			delete(n.others, vm)
+		if !ok && n.peers[vm].updatedMean(l.PrefillTokens, now) < minMeanPrefill {
+			delete(n.peers, vm)
 			continue
 		}
-		n.hear(vm, l, now)
+		n.setPeerLoad(vm, l, now)
 	}
 }
 
-// hear takes another VM's work.
-func (n *node) hear(vm string, l Load, now time.Time) {
-	n.others[vm] = reported{
-		load: load{requests: l.Requests, prefill: l.PrefillTokens, kv: l.KVTokens}, running: l.Running,
-		mean: n.others[vm].meanWith(l.PrefillTokens, now), at: now,
+// setPeerLoad replaces another VM's work at the instance.
+func (n *node) setPeerLoad(vm string, l Load, now time.Time) {
+	n.peers[vm] = peerLoad{
+		load: load{requests: l.Requests, prefillTokens: l.PrefillTokens, kvTokens: l.KVTokens}, running: l.Running,
+		meanPrefill: n.peers[vm].updatedMean(l.PrefillTokens, now), receivedAt: now,
 	}
 }
 
-// ownLoad is this VM's work.
-func (n *node) ownLoad() Load {
+// localLoad returns this VM's work at the instance.
+func (n *node) localLoad() Load {
 	return Load{
-		Requests: n.own.requests, PrefillTokens: n.own.prefill, KVTokens: n.own.kv, ReadTotal: n.readTotal, Running: maps.Clone(n.running),
+		Requests: n.local.requests, PrefillTokens: n.local.prefillTokens, KVTokens: n.local.kvTokens, ReadTotal: n.prefillTotal, Running: maps.Clone(n.running),
 	}
 }
 
 // Load is work in flight at an instance.
 type Load struct {
 	Requests, PrefillTokens, KVTokens int
-	// ReadTotal is the engine time for reading prompts that one VM has given to the instance
-	// since it started.
+	// ReadTotal is the engine time for prefill that one VM has given to the instance since
+	// the VM started.
 	ReadTotal time.Duration
 	// Running counts the requests by model.
 	Running map[string]int
@@ -69,97 +70,98 @@
 	return out
 }
 
-// IsZero reports whether nothing is in flight.
+// IsZero reports whether all fields are zero.
 func (l Load) IsZero() bool {
 	return l.Requests == 0 && l.PrefillTokens == 0 && l.KVTokens == 0 && l.ReadTotal == 0 && len(l.Running) == 0
 }
 
-// Loads returns this VM's work by instance.
+// Loads returns this VM's work by instance, for the instances that have any.
 func (s *Assigner) Loads() map[string]Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]Load)
 	for id, n := range s.nodes {
-		if n.own.requests > 0 {
-			out[id] = n.ownLoad()
+		if n.local.requests > 0 {
+			out[id] = n.localLoad()
 		}
 	}
 	return out
 }
 
-// LoadsOf returns this VM's work at some instances.
+// LoadsOf returns this VM's work at the given instances.
 func (s *Assigner) LoadsOf(instances []string) map[string]Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]Load, len(instances))
 	for _, id := range instances {
 		if n := s.nodes[id]; n != nil {
-			out[id] = n.ownLoad()
+			out[id] = n.localLoad()
 		}
 	}
 	return out
 }
 
-// HearSent takes another VM's work at the engines that it has just sent something.
+// HearSent applies another VM's work at the engines to which it has just sent requests. Its
+// work at other instances stays as it was.
 func (s *Assigner) HearSent(vm string, loads map[string]Load, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, l := range loads {
 		if n := s.nodes[id]; n != nil {
-			n.hearReading(vm, l.ReadTotal, now)
-			n.hear(vm, l, now)
+			n.recordPeerPrefill(vm, l.ReadTotal, now)
+			n.setPeerLoad(vm, l, now)
 		}
 	}
 }
 
-// Totals returns the work of all VMs at the instances that take work.
+// Totals returns the work of all VMs at the instances that accept requests.
 func (s *Assigner) Totals(now time.Time) map[string]Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]Load, len(s.nodes))
 	for id, n := range s.nodes {
 		if n.ready(now) {
-			t := n.total(now, defaultRead)
-			out[id] = Load{Requests: t.requests, PrefillTokens: t.prefill, KVTokens: t.kv, Running: n.totalRunning(now)}
+			t := n.total(now, defaultPrefillPerToken)
+			out[id] = Load{Requests: t.requests, PrefillTokens: t.prefillTokens, KVTokens: t.kvTokens, Running: n.totalRunning(now)}
 		}
 	}
 	return out
 }
 
-// place books the work.
-func (s *Assigner) place(n *node, a Ask, uncached int, expected time.Duration, now time.Time) *Choice {
-	c := &Choice{Instance: n.instance.ID, Uncached: uncached, Expected: expected, Beside: s.beside(n, a, now), node: n, ask: a, at: now}
-	c.kv = uncached + a.OutputTokens/2
-	read := time.Duration(uncached) * s.paceOf(a.Model).read
-	n.noteReading(read, now)
-	n.readTotal += read
-	if s.placed != nil && a.Model != "" {
-		s.placed(n.instance.ID)
+// place reserves a place at the instance and adds the request to its work.
+func (s *Assigner) place(n *node, req Ask, uncached int, expected time.Duration, now time.Time) *Choice {
+	c := &Choice{Instance: n.instance.ID, Uncached: uncached, Expected: expected, Beside: s.knownLoad(n, req, now), node: n, request: req, placedAt: now}
+	c.kvTokens = uncached + req.OutputTokens/2
+	prefill := time.Duration(uncached) * s.speedOf(req.Model).prefillPerToken
+	n.recordPrefill(prefill, now)
+	n.prefillTotal += prefill
+	if s.onPlace != nil && req.Model != "" {
+		s.onPlace(n.instance.ID)
 	}
-	n.own.requests++
-	n.own.prefill += uncached
-	n.own.kv += c.kv
-	n.running[a.Model]++
-	n.waiting[c] = struct{}{}
-	if a.Adapter != "" {
-		s.inUse[itemName(a.Model, a.Adapter)]++
+	n.local.requests++
+	n.local.prefillTokens += uncached
+	n.local.kvTokens += c.kvTokens
+	n.running[req.Model]++
+	n.unanswered[c] = struct{}{}
+	if req.Adapter != "" {
+		s.inUse[itemName(req.Model, req.Adapter)]++
 	}
 	return c
 }
 
-// beside is what is known of the work at an instance.
-func (s *Assigner) beside(n *node, a Ask, now time.Time) Beside {
-	total := n.total(now, s.paceOf(a.Model).read)
-	b := Beside{Requests: total.requests, Others: total.requests - n.own.requests, PrefillTokens: total.prefill}
-	for _, r := range n.others {
-		if age := now.Sub(r.at); age <= reportLifetime {
+// knownLoad returns the work that is known to be at an instance.
+func (s *Assigner) knownLoad(n *node, req Ask, now time.Time) Beside {
+	total := n.total(now, s.speedOf(req.Model).prefillPerToken)
+	b := Beside{Requests: total.requests, Others: total.requests - n.local.requests, PrefillTokens: total.prefillTokens}
+	for _, r := range n.peers {
+		if age := now.Sub(r.receivedAt); age <= reportLifetime {
 			b.ReportAge = max(b.ReportAge, age)
 		}
 	}
 	return b
 }
 
-// Started notes a choice's first event, or the answer of a plain service.
+// Started records the first event of a choice, or the answer of a service without engines.
 func (s *Assigner) Started(c *Choice, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,56 +170,59 @@
 	}
 	c.started = true
 	n := c.node
-	n.heard = now
-	delete(n.waiting, c)
-	n.own.prefill -= c.Uncached
-	if c.ask.Model == "" {
+	n.lastActivity = now
+	delete(n.unanswered, c)
+	n.local.prefillTokens -= c.Uncached
+	if c.request.Model == "" {
 		return
 	}
-	s.signal()
-	n.remember(c.ask, now)
-	s.learn(n, c, now.Sub(c.at))
+	s.signalFreed()
+	n.recordPrefixes(c.request, now)
+	s.recordFirstEvent(n, c, now.Sub(c.placedAt))
 }
 
-// Heard notes a sign of life of the choice's instance.
+// Heard records that the choice's instance has sent something.
 func (s *Assigner) Heard(c *Choice, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.node.heard = now
+	c.node.lastActivity = now
 }
 
-// Lives reports whether an instance gave a sign of life lately, by any request of this VM.
+// Lives reports whether the instance has sent anything for any request of this VM within
+// the given time before now.
 func (s *Assigner) Lives(instance string, within time.Duration, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.nodes[instance]
-	return n != nil && now.Sub(n.heard) < within
+	return n != nil && now.Sub(n.lastActivity) < within
 }
 
-// learn compares the time to the first event with what was expected.
-func (s *Assigner) learn(n *node, c *Choice, took time.Duration) {
-	ratio := float64(took) / float64(max(c.Expected, stepTime))
-	n.slow = slowMemory*n.slow + (1-slowMemory)*min(max(ratio*n.slow, 0.5), slowMost)
-	n.slow = max(n.slow, 0.7)
-	if c.Uncached < measureFrom || len(n.waiting) > 0 {
+// recordFirstEvent updates the instance's slowness from the time to the first event compared
+// with the expected one, and the model's prefill speed.
+func (s *Assigner) recordFirstEvent(n *node, c *Choice, elapsed time.Duration) {
+	ratio := float64(elapsed) / float64(max(c.Expected, minFirstEventTime))
+	n.slowness = slownessSmoothing*n.slowness + (1-slownessSmoothing)*min(max(ratio*n.slowness, 0.5), maxSlowness)
+	n.slowness = max(n.slowness, 0.7)
+	if c.Uncached < minPrefillSample || len(n.unanswered) > 0 {
 		return
 	}
-	p := s.paces[c.ask.Model]
-	p.learnRead((took-stepTime)/time.Duration(c.Uncached), s.paceOf(c.ask.Model).read)
-	s.paces[c.ask.Model] = p
+	p := s.speeds[c.request.Model]
+	p.updatePrefill((elapsed-minFirstEventTime)/time.Duration(c.Uncached), s.speedOf(c.request.Model).prefillPerToken)
+	s.speeds[c.request.Model] = p
 }
 
-// Outcome is how an exchange ended for the upstream.
+// Outcome is how an exchange ended, as far as the upstream is concerned.
 type Outcome int
 
-// The outcomes. Neutral tells nothing about the upstream, as when the caller left.
+// The outcomes. Neutral says nothing about the upstream, as when the caller left.
 const (
 	Succeeded Outcome = iota
 	Failed
 	Neutral
 )
 
-// Finish gives a place back.
+// Finish releases the place of a choice and records the outcome. Further calls with the
+// same choice have no effect.
 func (s *Assigner) Finish(c *Choice, o Outcome, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -226,39 +231,39 @@
 	}
 	c.done = true
 	n := c.node
-	delete(n.waiting, c)
+	delete(n.unanswered, c)
 	if !c.started {
-		n.own.prefill -= c.Uncached
+		n.local.prefillTokens -= c.Uncached
 	}
-	n.own.requests--
-	n.own.kv -= c.kv
-	if n.running[c.ask.Model]--; n.running[c.ask.Model] <= 0 {
-		delete(n.running, c.ask.Model)
+	n.local.requests--
+	n.local.kvTokens -= c.kvTokens
+	if n.running[c.request.Model]--; n.running[c.request.Model] <= 0 {
+		delete(n.running, c.request.Model)
 	}
-	s.release(c.ask)
-	s.signal()
+	s.releaseAdapter(c.request)
+	s.signalFreed()
 	switch o {
 	case Succeeded:
-		n.succeeded(now)
+		n.recordSuccess(now)
 	case Failed:
-		if n.failed(now) && s.believe != nil {
-			s.believe(n.instance.ID, n.failures, n.ejectedUntil)
+		if n.recordFailure(now) && s.onEjection != nil {
+			s.onEjection(n.instance.ID, n.failures, n.ejectedUntil)
 		}
 	}
 }
 
-// release counts an adapter's request as ended.
-func (s *Assigner) release(a Ask) {
-	if a.Adapter == "" {
+// releaseAdapter counts a request that uses an adapter as ended.
+func (s *Assigner) releaseAdapter(req Ask) {
+	if req.Adapter == "" {
 		return
 	}
-	item := itemName(a.Model, a.Adapter)
+	item := itemName(req.Model, req.Adapter)
 	if s.inUse[item]--; s.inUse[item] <= 0 {
 		delete(s.inUse, item)
 	}
 }
 
-// InUse names the adapters that requests in flight use, "model/adapter".
+// InUse returns the adapters that requests in flight use, as "model/adapter".
 func (s *Assigner) InUse() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
