--- a/internal/aggregate/doc.go
+++ b/internal/aggregate/doc.go
@@ -1,4 +1,4 @@
-// Package aggregate adds up what VMs report, so that one report can stand for many, and
-// numbers what changes in the sums, so that a report tells each receiver only what is new
-// to it. It does no I/O.
+// Package aggregate sums the reports of VMs, so that one report can stand for many, and
+// versions the changes of the sums, so that a report to each receiver holds only what that
+// receiver has not acknowledged. It does no I/O.
 package aggregate
--- a/internal/aggregate/levels.go
+++ b/internal/aggregate/levels.go
@@ -7,8 +7,8 @@
 	"github.com/chestnutarch/chestnutarch/internal/topology"
 )
 
-// Levels adds up what is the case at VMs now, such as work in flight. It is not safe for
-// concurrent use.
+// Levels sums current values of VMs, such as work in flight. It is not safe for concurrent
+// use.
 type Levels[V Value[V]] struct {
 	lifetime time.Duration
 	sums     sums[V]
@@ -17,23 +17,24 @@
 }
 
 type levelSource[V any] struct {
-	near   bool
-	heard  time.Time
-	values map[string]V
+	sameDomain   bool
+	lastReportAt time.Time
+	values       map[string]V
 }
 
-// NewLevels returns levels of sources that count for a lifetime after they were last heard.
+// NewLevels returns empty levels. A source's values count for lifetime after its last
+// report. Changes are numbered by version.
 func NewLevels[V Value[V]](lifetime time.Duration, version *Version) *Levels[V] {
 	return &Levels[V]{lifetime: lifetime, sums: newSums[V](version), own: make(map[string]V), sources: make(map[string]*levelSource[V])}
 }
 
-// SetOwn takes this VM's levels: all that are not zero.
+// SetOwn replaces this VM's levels by values, which hold all that are not zero.
 func (l *Levels[V]) SetOwn(values map[string]V) {
 	l.replace(topology.ScopeOwn, l.own, values)
 	l.sums.prune()
 }
 
-// replace makes values the whole of what a source has.
+// replace sets a source's levels to values and removes those that values does not hold.
 func (l *Levels[V]) replace(scope topology.Scope, held, values map[string]V) {
 	for name := range held {
 		if _, ok := values[name]; !ok {
@@ -54,40 +55,41 @@
 	held[name] = v
 }
 
-// Take takes the levels of a VM that have changed, or all of them. It returns false if the VM
-// has not been heard for too long for changes to be of use.
-func (l *Levels[V]) Take(vm string, near, whole bool, changed map[string]V, now time.Time) bool {
+// Take records a VM's levels: all of them if complete, else those that have changed. It
+// returns false if only changes are given and the VM has no levels here, because it is new
+// or has not reported for longer than the lifetime.
+func (l *Levels[V]) Take(vm string, sameDomain, complete bool, changed map[string]V, now time.Time) bool {
 	l.expire(now)
 	s := l.sources[vm]
-	if s == nil && !whole {
+	if s == nil && !complete {
 		return false
 	}
 	if s == nil {
-		s = &levelSource[V]{near: near, values: make(map[string]V)}
+		s = &levelSource[V]{sameDomain: sameDomain, values: make(map[string]V)}
 		l.sources[vm] = s
 	}
-	s.heard = now
-	if whole {
-		l.replace(narrowest(s.near), s.values, changed)
+	s.lastReportAt = now
+	if complete {
+		l.replace(narrowestScope(s.sameDomain), s.values, changed)
 		return true
 	}
 	for name, v := range changed {
-		l.set(narrowest(s.near), s.values, name, v)
+		l.set(narrowestScope(s.sameDomain), s.values, name, v)
 	}
 	return true
 }
 
-// expire drops the VMs that have not been heard.
+// expire drops the levels of VMs that have not reported for longer than the lifetime.
 func (l *Levels[V]) expire(now time.Time) {
 	for vm, s := range l.sources {
-		if now.Sub(s.heard) > l.lifetime {
-			l.replace(narrowest(s.near), s.values, nil)
+		if now.Sub(s.lastReportAt) > l.lifetime {
+			l.replace(narrowestScope(s.sameDomain), s.values, nil)
 			delete(l.sources, vm)
 		}
 	}
 }
 
-// Of returns the levels of a VM.
+// Of returns a copy of the levels of a VM, nil if it has none.
 func (l *Levels[V]) Of(vm string) map[string]V {
 	if s := l.sources[vm]; s != nil {
 		return maps.Clone(s.values)
@@ -95,15 +97,15 @@
 	return nil
 }
 
-// Known reports whether all changes since a number are remembered.
-func (l *Levels[V]) Known(number uint64) bool { return number >= l.sums.forgotten }
+// Known reports whether all changes since a version number are kept.
+func (l *Levels[V]) Known(number uint64) bool { return number >= l.sums.prunedUpTo }
 
-// Since returns the sums of a scope that have changed since a number, without those of one
-// VM; since zero, all that are not zero.
-func (l *Levels[V]) Since(scope topology.Scope, number uint64, except string, now time.Time) map[string]V {
+// Since returns the sums of a scope that have changed since a version number, without the
+// levels of one VM. With number 0 it returns all sums that are not zero.
+func (l *Levels[V]) Since(scope topology.Scope, number uint64, excludedVM string, now time.Time) map[string]V {
 	l.expire(now)
 	var part map[string]V
-	if s := l.sources[except]; s != nil && narrowest(s.near) <= scope {
+	if s := l.sources[excludedVM]; s != nil && narrowestScope(s.sameDomain) <= scope {
 		part = s.values
 	}
 	return l.sums.since(scope, number, part)
--- a/internal/aggregate/table.go
+++ b/internal/aggregate/table.go
@@ -4,14 +4,14 @@
 	"github.com/chestnutarch/chestnutarch/internal/topology"
 )
 
-// Value is what is summed.
+// Value is a type whose values can be summed.
 type Value[V any] interface {
 	Add(V) V
 	Sub(V) V
 	IsZero() bool
 }
 
-// Count is a number as a Value.
+// Count is a plain number that implements Value.
 type Count float64
 
 // Add implements Value.
@@ -23,34 +23,36 @@
 // IsZero implements Value.
 func (c Count) IsZero() bool { return c == 0 }
 
-// Version numbers the changes of tables that are told of together. It is not safe for
+// Version numbers the changes of tables that are reported together. It is not safe for
 // concurrent use.
 type Version struct{ number uint64 }
 
-// Number returns the number of the last change.
+// Number returns the number of the last change, 0 before the first one.
 func (v *Version) Number() uint64 { return v.number }
 
-// Next returns the number of a further change.
+// Next increments the number for a further change and returns it.
 func (v *Version) Next() uint64 {
 	v.number++
 	return v.number
 }
 
-// scopes is how many scopes have sums of their own: topology.ScopeOwn, ScopeDomain and
+// scopeCount is the number of scopes with separate sums: topology.ScopeOwn, ScopeDomain and
 // ScopeAll.
-const scopes = 3
+const scopeCount = 3
 
-// sums adds up values by name for each scope.
+// sums holds the sums of values by name for each scope.
 type sums[V Value[V]] struct {
 	version *Version
-	cells   [scopes]map[string]cell[V]
-	// forgotten is the number up to which names whose sum is zero are not remembered.
-	forgotten uint64
+	cells   [scopeCount]map[string]cell[V]
+	// prunedUpTo is the version number up to which names whose sum is zero have been
+	// removed.
+	prunedUpTo uint64
 }
 
 type cell[V any] struct {
-	sum     V
-	changed uint64
+	sum V
+	// lastChange is the version number of the last change of sum.
+	lastChange uint64
 }
 
 func newSums[V Value[V]](version *Version) sums[V] {
@@ -61,29 +63,29 @@
 	return s
 }
 
-// add adds to a name's sums, in the narrowest scope that covers the source and all wider ones.
-func (s *sums[V]) add(narrowest topology.Scope, name string, difference V) {
+// add adds a difference to a name's sums in the scope from and all wider scopes.
+func (s *sums[V]) add(from topology.Scope, name string, difference V) {
 	if difference.IsZero() {
 		return
 	}
 	number := s.version.Next()
-	for scope := narrowest; scope < scopes; scope++ {
+	for scope := from; scope < scopeCount; scope++ {
 		c := s.cells[scope][name]
-		c.sum, c.changed = c.sum.Add(difference), number
+		c.sum, c.lastChange = c.sum.Add(difference), number
 		s.cells[scope][name] = c
 	}
 }
 
-// since returns the sums of a scope that have changed since a number, less one source's part;
-// since zero, all that are not zero.
-func (s *sums[V]) since(scope topology.Scope, number uint64, except map[string]V) map[string]V {
+// since returns the sums of a scope that have changed since a version number, less the
+// excluded values of one source. With number 0 it returns all sums that are not zero.
+func (s *sums[V]) since(scope topology.Scope, number uint64, excluded map[string]V) map[string]V {
 	changed := make(map[string]V)
 	for name, c := range s.cells[scope] {
-		if c.changed <= number {
+		if c.lastChange <= number {
 			continue
 		}
 		sum := c.sum
-		if part, ok := except[name]; ok {
+		if part, ok := excluded[name]; ok {
 			sum = sum.Sub(part)
 		}
 		if number > 0 || !sum.IsZero() {
@@ -93,10 +95,11 @@
 	return changed
 }
 
-// maxZero is how many names may be remembered whose sum is zero, beyond as many as have one.
-const maxZero = 256
+// maxZeroNames is how many names whose sum is zero are kept beyond half of all names.
+const maxZeroNames = 256
 
-// prune drops the names whose sum is zero once they are many.
+// prune removes all names whose sum is zero once they are more than maxZeroNames plus half
+// of all names.
 func (s *sums[V]) prune() {
 	zero := 0
 	for _, c := range s.cells[topology.ScopeAll] {
@@ -104,7 +107,7 @@
 			zero++
 		}
 	}
-	if zero <= maxZero+len(s.cells[topology.ScopeAll])/2 {
+	if zero <= maxZeroNames+len(s.cells[topology.ScopeAll])/2 {
 		return
 	}
 	for _, cells := range s.cells {
@@ -114,12 +117,12 @@
 			}
 		}
 	}
-	s.forgotten = s.version.Number()
+	s.prunedUpTo = s.version.Number()
 }
 
-// narrowest returns the narrowest scope that covers a source.
-func narrowest(near bool) topology.Scope {
-	if near {
+// narrowestScope returns the narrowest scope that covers another VM.
+func narrowestScope(sameDomain bool) topology.Scope {
+	if sameDomain {
 		return topology.ScopeDomain
 	}
 	return topology.ScopeAll
