--- a/internal/topology/doc.go
+++ b/internal/topology/doc.go
@@ -1,8 +1,9 @@
 // Package topology decides which VMs exchange reports. It does no I/O.
 //
-// Up to a dozen VMs each exchanges with every other one. Beyond that the exchanges
-// would grow with the square of the VMs, and most of their bytes would cross failure
-// domains. So the VMs of a failure domain report to one of them, its hub, and the hubs
-// tell each other what their domains did. A hub is no office: it is whoever comes first
-// by name among those that are heard, and the next one takes over within a second.
+// Up to a dozen VMs form a full mesh. With more VMs, the number of exchanges in a mesh
+// would grow with their square, and most of the bytes would cross failure domains.
+// Therefore the VMs of a failure domain report to one of them, its hub, and the hubs
+// exchange the sums of their domains. No hub is configured or elected: every VM computes
+// it as the VM with the widest link, and of equal ones the first by name, among those that
+// are not silent. When a hub fails, the next VM in this order replaces it within a second.
 package topology
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -8,37 +8,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MeshLimit is the number of VMs up to which all exchange with all: 66 pairs, each four
-// times a second, cost a VM under a hundredth of a core.
+// MeshLimit is the largest number of VMs that form a full mesh: 66 pairs, each with four
+// exchanges a second, cost a VM less than a hundredth of a core.
 const MeshLimit = 12
 
-// VM is one VM as another one knows it.
+// VM describes a VM to the plan of another one.
 type VM struct {
 	Name, Domain string
-	// Capacity is the bandwidth of the VM's link in Mbit/s. The widest is the hub.
+	// Capacity is the bandwidth of the VM's link in Mbit/s. The VM with the widest link of
+	// a failure domain is its hub.
 	Capacity float64
-	// Silent VMs have not been heard for so long that they cannot serve as hubs.
+	// Silent means that the VM has not reported for so long that it cannot be a hub.
 	Silent bool
-	// Leads says that the VM gives orders to engines.
+	// Leads means that the VM is the leader, which sends orders to engines.
 	Leads bool
 }
 
 // Partner is a VM to exchange reports with.
 type Partner struct {
 	Name string
-	// Weight is how many VMs it reports for; zero for a standby, which only has to be
-	// known to be there.
+	// Weight is the number of VMs that the partner reports for; zero for a standby, which
+	// is only checked to be reachable.
 	Weight int
-	// Call says that this side starts the exchanges.
+	// Call means that this VM starts the exchanges.
 	Call bool
 }
 
 // Scope is what a report to another VM covers.
 type Scope int
 
-// The scopes. ScopeOwn is this VM alone, ScopeDomain the VMs that report to it, and
-// ScopeAll everyone it knows of but the receiver. ScopeAllForLeader is the same with what only
-// a leader needs. ScopePresence says no more than that the sender is there.
+// The scopes. ScopeOwn covers the sender alone, ScopeDomain also the VMs that report to it,
+// and ScopeAll all VMs that the sender knows except the receiver. ScopeAllForLeader is
+// ScopeAll with the data that only a leader needs. ScopePresence covers no data: it shows
+// that the sender is alive.
 const (
 	ScopeOwn Scope = iota
 	ScopeDomain
@@ -47,16 +49,17 @@
 	ScopePresence
 )
 
-// Plan is the place of one VM among the others.
+// Plan holds the exchange partners of one VM and the hubs of all failure domains.
 type Plan struct {
 	self VM
+	// hubs holds the name of each failure domain's hub. It is empty in a mesh.
 	hubs map[string]string
-	// Mesh says that all exchange with all.
+	// Mesh means that every VM exchanges with every other one.
 	Mesh     bool
 	Partners []Partner
 }
 
-// New works out the place of self among the others.
+// New computes the plan of self among the other VMs.
 func New(self VM, others []VM) *Plan {
 	p := &Plan{self: self, Mesh: len(others)+1 <= MeshLimit, hubs: make(map[string]string)}
 	if p.Mesh {
@@ -65,11 +68,11 @@
 		}
 		return p
 	}
-	sizes, best := make(map[string]int), make(map[string]VM)
+	sizes, hubs := make(map[string]int), make(map[string]VM)
 	for _, vm := range append([]VM{self}, others...) {
 		sizes[vm.Domain]++
-		if hub, ok := best[vm.Domain]; !vm.Silent && (!ok || vm.goesBefore(hub)) {
-			best[vm.Domain] = vm
+		if current, ok := hubs[vm.Domain]; !vm.Silent && (!ok || vm.preferredOver(current)) {
+			hubs[vm.Domain] = vm
 			p.hubs[vm.Domain] = vm.Name
 		}
 	}
@@ -92,39 +95,40 @@
 	return p
 }
 
-// standbys is how many VMs after its hub a VM keeps in touch with.
-const standbys = 2
+// maxStandbys is the number of standby hubs that a VM exchanges with beside its hub.
+const maxStandbys = 2
 
-// addStandbys adds the VMs that would take the hub's place, so that it is known which of
-// them can be reached when that is needed. Where many VMs are cut off at once, trying one
-// after the other would take seconds.
+// addStandbys adds the VMs that would replace the hub, so that this VM knows which of them
+// are reachable before it needs them. If many VMs are unreachable at once, trying one after
+// the other would take seconds.
 func (p *Plan) addStandbys(others []VM) {
-	var next []VM
+	var candidates []VM
 	for _, vm := range others {
 		if vm.Domain == p.self.Domain && !vm.Silent && vm.Name != p.hubs[p.self.Domain] {
-			next = append(next, vm)
+			candidates = append(candidates, vm)
 		}
 	}
-	slices.SortFunc(next, func(a, b VM) int {
-		if a.goesBefore(b) {
+	slices.SortFunc(candidates, func(a, b VM) int {
+		if a.preferredOver(b) {
 			return -1
 		}
 		return 1
 	})
-	for _, vm := range next[:min(standbys, len(next))] {
+	for _, vm := range candidates[:min(maxStandbys, len(candidates))] {
 		p.Partners = append(p.Partners, Partner{Name: vm.Name, Call: true})
 	}
 }
 
-// goesBefore orders the VMs of a domain by how well they serve as its hub.
-func (vm VM) goesBefore(other VM) bool {
+// preferredOver orders the VMs of a domain by their suitability as its hub: by capacity,
+// then by name.
+func (vm VM) preferredOver(other VM) bool {
 	if vm.Capacity != other.Capacity {
 		return vm.Capacity > other.Capacity
 	}
 	return vm.Name < other.Name
 }
 
-// IsHub reports whether the VM is the hub of its domain. In a mesh nobody is.
+// IsHub reports whether the VM is the hub of its domain. A mesh has no hubs.
 func (p *Plan) IsHub() bool { return !p.Mesh && p.hubs[p.self.Domain] == p.self.Name }
 
 // Hub returns the hub of the VM's domain, "" in a mesh or if the VM is the hub itself.
@@ -135,8 +139,8 @@
 	return p.hubs[p.self.Domain]
 }
 
-// OtherHubs names the hubs of the other domains, in an order of this VM's own: VMs whose hub
-// fails turn to different ones.
+// OtherHubs returns the names of the hubs of the other domains in a pseudo-random order that
+// is stable for this VM, so that VMs whose hub fails fall back to different ones.
 func (p *Plan) OtherHubs() []string {
 	var out []string
 	for domain, hub := range p.hubs {
@@ -144,13 +148,15 @@
 			out = append(out, hub)
 		}
 	}
-	draw := func(hub string) uint64 { return xxhash.Sum64String(p.self.Name + " " + hub) }
-	slices.SortFunc(out, func(a, b string) int { return cmp.Compare(draw(a), draw(b)) })
+	rank := func(hub string) uint64 { return xxhash.Sum64String(p.self.Name + " " + hub) }
+	slices.SortFunc(out, func(a, b string) int { return cmp.Compare(rank(a), rank(b)) })
 	return out
 }
 
-// ScopeFor returns what a report to another VM has to cover: a hub tells its own VMs of
-// everyone, and other hubs of its domain. A VM that is no hub tells only its hub what it does.
+// ScopeFor returns the scope of reports to another VM. A hub reports on all VMs to those of
+// its own domain, and on its domain to other hubs. A VM that is not a hub reports on itself,
+// to its hub only; other VMs get ScopePresence from it. In a mesh, every VM reports on
+// itself.
 func (p *Plan) ScopeFor(receiver VM) Scope {
 	switch {
 	case p.Mesh || p.Hub() == receiver.Name:
@@ -165,15 +171,16 @@
 	return ScopeDomain
 }
 
-// Accepts reports whether the sums of a report count here. VMs do not always agree on who
-// is a hub: where links are cut, a domain may have two. A report that covers more than its
-// sender's place allows would come back to where it was summed, and grow with each turn.
+// Accepts reports whether this VM may add the sums of a report with a scope. VMs do not
+// always agree on the hubs: while links are down, a domain may have two. Sums with a wider
+// scope than the sender's role allows could return to the VM that computed them and would
+// then grow with every round.
 func (p *Plan) Accepts(sender VM, scope Scope) bool {
-	near := sender.Domain == p.self.Domain
+	sameDomain := sender.Domain == p.self.Domain
 	switch {
 	case p.Mesh:
 		return scope == ScopeOwn
-	case p.IsHub() && near:
+	case p.IsHub() && sameDomain:
 		return scope == ScopeOwn
 	case p.IsHub():
 		return scope == ScopeDomain
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -22,23 +22,23 @@
 
 func TestFewVMsFormAMesh(t *testing.T) {
 	all := vms(7, 4)
-	calls := 0
+	initiated := 0
 	for i := range all {
 		p := planOf(all, i)
 		require.Len(t, p.Partners, 6)
 		require.False(t, p.IsHub())
 		for _, partner := range p.Partners {
 			if partner.Call {
-				calls++
+				initiated++
 			}
 		}
 	}
-	require.Equal(t, 21, calls, "each pair has one side that calls")
+	require.Equal(t, 21, initiated, "exactly one VM of each pair must start the exchanges")
 }
 
-// Eighty VMs that all exchanged with all would spend a tenth of what they earn on bytes
-// between failure domains. Each has to stand in exactly one place, so that what one VM
-// admits counts once at every other one.
+// A mesh of 80 VMs would spend a tenth of its revenue on traffic between failure domains.
+// With hubs, every VM must be covered by exactly one partner's reports, so that what it
+// admits counts once at every other VM.
 func TestManyVMsReportThroughHubs(t *testing.T) {
 	all := vms(82, 4)
 	pairs, hubs := 0, 0
@@ -51,18 +51,18 @@
 				pairs++
 			}
 		}
-		require.Equal(t, 81, weight, "everybody is heard of once")
+		require.Equal(t, 81, weight, "the partners of a VM must report for each other VM exactly once")
 		if p.IsHub() {
 			hubs++
 		} else {
-			require.Len(t, p.Partners, 1+standbys)
+			require.Len(t, p.Partners, 1+maxStandbys)
 		}
 	}
 	require.Equal(t, 4, hubs)
-	require.Equal(t, 78+6, pairs, "3,321 in a mesh")
+	require.Equal(t, 78+6, pairs, "78 VMs exchange with their hub and 4 hubs with each other; a mesh would have 3,321 pairs")
 }
 
-// A hub dies. Its VMs and the other hubs have to agree on the next one without asking.
+// A hub fails. Its VMs and the other hubs must agree on its replacement without coordination.
 func TestSilentHubIsReplaced(t *testing.T) {
 	all := vms(40, 4)
 	all[0].Silent = true
@@ -73,9 +73,9 @@
 	}
 }
 
-// The VMs of a domain have links of different width. The hub passes on everything that the
-// others learn, and a narrow link would be full with that alone.
-func TestWidestVMIsTheHub(t *testing.T) {
+// The VMs of a domain have links of different bandwidth. The hub forwards all reports that
+// the others get, which alone would fill a narrow link.
+func TestVMWithWidestLinkIsHub(t *testing.T) {
 	all := vms(40, 4)
 	all[8].Capacity = 200
 	require.True(t, planOf(all, 8).IsHub())
@@ -84,19 +84,19 @@
 	require.Empty(t, planOf(vms(7, 4), 0).Hub())
 }
 
-// A hub dies and its VMs turn to the hubs of other domains. If all took the same one, that one
-// would have to serve a second domain at once.
-func TestVMsTurnToDifferentHubs(t *testing.T) {
+// A hub fails and its VMs fall back to the hubs of other domains. If all chose the same one,
+// it would have to serve a whole second domain at once.
+func TestVMsFallBackToDifferentHubs(t *testing.T) {
 	all := vms(60, 6)
-	turned := make(map[string]int)
+	firstChoices := make(map[string]int)
 	for i := 6; i < 60; i += 6 {
 		others := planOf(all, i).OtherHubs()
 		require.Len(t, others, 5)
 		require.NotContains(t, others, planOf(all, i).Hub())
 		require.Equal(t, others, planOf(all, i).OtherHubs())
-		turned[others[0]]++
+		firstChoices[others[0]]++
 	}
-	require.Greater(t, len(turned), 2)
+	require.Greater(t, len(firstChoices), 2)
 }
 
 func TestScopes(t *testing.T) {
