--- a/internal/patch/doc.go
+++ b/internal/patch/doc.go
@@ -1,6 +1,6 @@
-// Package patch turns a value into what is new against an earlier version of it. A
-// configuration of half a megabyte changes by a few hundred bytes at a time, and VMs pass
-// it on over links that are narrow and carry callers' traffic. It does no I/O.
+// Package patch computes and applies binary patches between versions of a value. A
+// configuration of half a megabyte changes by a few hundred bytes at a time, and VMs forward
+// it over narrow links that also carry callers' traffic. The package does no I/O.
 //
-// A patch is a Zstandard frame (RFC 8878) whose raw dictionary is the earlier version.
+// A patch is a Zstandard frame (RFC 8878) with the earlier version as its raw dictionary.
 package patch
--- a/internal/patch/history.go
+++ b/internal/patch/history.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// MinBytes is the size from which a value is passed on as a patch. Making one takes
-	// some megabytes for a moment, which smaller values are not worth.
+	// MinBytes is the size in bytes from which a value is sent as a patch. Making a patch
+	// briefly takes some megabytes of memory, which does not pay for smaller values.
 	MinBytes = 32 << 10
-	// versions is how many versions of a value are kept: the newest one, and those that
-	// somebody may still hold while changes come in quick succession.
-	versions = 4
+	// maxVersions is how many versions of a value are kept: the newest one, and those that
+	// a receiver may still have when changes follow each other quickly.
+	maxVersions = 4
 )
 
-// History keeps the newest versions of large values, to make patches of. It is safe for
-// concurrent use.
+// History keeps the newest versions of large values and makes patches between them. It is
+// safe for concurrent use.
 type History struct {
-	mu   sync.Mutex
-	keys map[string]*versioned
+	mu        sync.Mutex
+	histories map[string]*keyHistory
 }
 
-// versioned is a key's versions, the oldest first.
-type versioned struct {
-	kept []version
-	// patches make the newest version of earlier ones, by their revision.
+// keyHistory holds the kept versions of a key's value, the oldest first.
+type keyHistory struct {
+	versions []version
+	// patches caches the patches to the newest version, by the revision of their base.
 	patches map[int64][]byte
 }
 
@@ -34,55 +34,57 @@
 }
 
 // NewHistory returns an empty history.
-func NewHistory() *History { return &History{keys: make(map[string]*versioned)} }
+func NewHistory() *History { return &History{histories: make(map[string]*keyHistory)} }
 
-// Note takes in a key's value at a revision, if it is large and newer than those kept.
+// Note records a key's value at a revision. It ignores values smaller than MinBytes and
+// revisions that are not newer than the newest kept one.
 func (h *History) Note(key string, revision int64, value []byte) {
 	if len(value) < MinBytes {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	v := h.keys[key]
+	v := h.histories[key]
 	if v == nil {
-		v = &versioned{}
-		h.keys[key] = v
+		v = &keyHistory{}
+		h.histories[key] = v
 	}
-	if n := len(v.kept); n > 0 && revision <= v.kept[n-1].revision {
+	if n := len(v.versions); n > 0 && revision <= v.versions[n-1].revision {
 		return
 	}
-	v.kept = append(v.kept, version{revision, value})
-	v.kept = slices.Clone(v.kept[max(0, len(v.kept)-versions):])
+	v.versions = append(v.versions, version{revision, value})
+	v.versions = slices.Clone(v.versions[max(0, len(v.versions)-maxVersions):])
 	v.patches = make(map[int64][]byte)
 }
 
-// Patch returns what makes a key's value at a revision of the one at base, and the base it
-// rests on: zero if the one asked for is not kept. It returns false if the revision is not
-// the newest one or no patch can be made, so that the value itself has to be passed on.
-func (h *History) Patch(key string, revision, base int64) (patch []byte, on int64, ok bool) {
+// Patch returns a patch to a key's value at a revision from its value at base, and the base
+// that the patch applies to: zero, for no base, if that revision is not kept. It returns
+// false if the revision is not the newest one or no patch can be made; the caller then has
+// to send the value itself.
+func (h *History) Patch(key string, revision, base int64) (patch []byte, usedBase int64, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	v := h.keys[key]
+	v := h.histories[key]
 	if v == nil {
 		return nil, 0, false
 	}
-	newest := v.kept[len(v.kept)-1]
+	newest := v.versions[len(v.versions)-1]
 	if newest.revision != revision {
 		return nil, 0, false
 	}
-	var from []byte
-	for _, k := range v.kept {
-		if k.revision == base {
-			from, on = k.value, base
+	var baseValue []byte
+	for _, kept := range v.versions {
+		if kept.revision == base {
+			baseValue, usedBase = kept.value, base
 		}
 	}
-	if known, ok := v.patches[on]; ok {
-		return known, on, true
+	if cached, ok := v.patches[usedBase]; ok {
+		return cached, usedBase, true
 	}
-	patch, err := Make(from, newest.value)
+	patch, err := Make(baseValue, newest.value)
 	if err != nil {
 		return nil, 0, false
 	}
-	v.patches[on] = patch
-	return patch, on, true
+	v.patches[usedBase] = patch
+	return patch, usedBase, true
 }
--- a/internal/patch/patch.go
+++ b/internal/patch/patch.go
@@ -7,30 +7,30 @@
 	"github.com/pkg/errors"
 )
 
-// ErrPatch means that a patch cannot be made, or cannot be read with the base that it is
-// applied to.
+// ErrPatch means that a patch cannot be made, or cannot be decoded with the given base.
 var ErrPatch = errors.New("patch: bad patch")
 
 const (
-	// maxValue bounds a value in bytes, so that a damaged patch cannot take all memory.
-	maxValue = 16 << 20
-	// dictionary is the ID of the base in a frame. Frames have no other one.
-	dictionary = 1
+	// maxValueBytes is the largest size of a value, so that a damaged patch cannot exhaust
+	// the memory.
+	maxValueBytes = 16 << 20
+	// dictionaryID is the dictionary ID of the base in a frame. It is the only one in use.
+	dictionaryID = 1
 )
 
-// Make returns what turns base into value. Without a base the patch is the value,
-// compressed. It returns ErrPatch, wrapped.
+// Make returns the patch that turns base into value. Without a base, the patch is the
+// compressed value. Errors are ErrPatch, wrapped.
 func Make(base, value []byte) ([]byte, error) {
-	if len(value) > maxValue {
-		return nil, errors.Wrapf(ErrPatch, "a value of %d bytes", len(value))
+	if len(value) > maxValueBytes {
+		return nil, errors.Wrapf(ErrPatch, "value of %d bytes is too large", len(value))
 	}
 	options := []zstd.EOption{
-		// Faster levels remember too little of a large base to find it again.
+		// Faster levels index too little of a large base to find matches in it.
 		zstd.WithEncoderLevel(zstd.SpeedBetterCompression), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true),
-		zstd.WithWindowSize(window(len(base) + len(value))),
+		zstd.WithWindowSize(windowSize(len(base) + len(value))),
 	}
 	if len(base) > 0 {
-		options = append(options, zstd.WithEncoderDictRaw(dictionary, base))
+		options = append(options, zstd.WithEncoderDictRaw(dictionaryID, base))
 	}
 	encoder, err := zstd.NewWriter(nil, options...)
 	if err != nil {
@@ -40,11 +40,11 @@
 	return encoder.EncodeAll(value, nil), nil
 }
 
-// Apply returns the value that a patch makes of base. It returns ErrPatch, wrapped.
+// Apply returns the value that a patch turns base into. Errors are ErrPatch, wrapped.
 func Apply(base, patch []byte) ([]byte, error) {
-	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxValue)}
+	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxValueBytes)}
 	if len(base) > 0 {
-		options = append(options, zstd.WithDecoderDictRaw(dictionary, base))
+		options = append(options, zstd.WithDecoderDictRaw(dictionaryID, base))
 	}
 	decoder, err := zstd.NewReader(nil, options...)
 	if err != nil {
@@ -58,8 +58,9 @@
 	return value, nil
 }
 
-// window returns the size of a window that holds so many bytes: a power of two.
-func window(bytes int) int {
+// windowSize returns a window size that holds a number of bytes: a power of two within the
+// limits of the encoder.
+func windowSize(bytes int) int {
 	size := 1 << bits.Len(uint(bytes))
 	return min(max(size, zstd.MinWindowSize), zstd.MaxWindowSize)
 }
--- a/internal/patch/patch_test.go
+++ b/internal/patch/patch_test.go
@@ -10,21 +10,21 @@
 	"pgregory.net/rapid"
 )
 
-// rows returns a text like that of a configuration with so many routes.
-func rows(n int) []byte {
+// configurationText returns a text that resembles a configuration with a number of routes.
+func configurationText(routes int) []byte {
 	var out bytes.Buffer
-	for i := range n {
+	for i := range routes {
 		fmt.Fprintf(&out, `{"name":"r-%x","host":"h.example","path":"/%x/"},`, i*2654435761%100000007, i*40503%1000003)
 	}
 	return out.Bytes()
 }
 
-// A configuration that changes by one route is passed on to each VM thirteen thousand times
-// a day. Its whole would take most of a narrow link. Random text stands for keys, of which no
-// part comes twice.
-func TestPatchHoldsOnlyWhatChanged(t *testing.T) {
+// A configuration that changes by one route is sent to each VM 13,000 times a day. Sending
+// it in full would take most of a narrow link. Random text represents keys, which have no
+// repeated parts.
+func TestPatchSizeIsSmallForSmallChange(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	before := rows(2000)
+	before := configurationText(2000)
 	for len(before) < 1<<20 {
 		before = fmt.Appendf(before, `"%016x%016x",`, r.Uint64(), r.Uint64())
 	}
@@ -41,7 +41,7 @@
 func TestEveryPatchMakesItsValue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		piece := rapid.SliceOfN(rapid.Byte(), 0, 200)
-		base, value := rows(rapid.IntRange(0, 300).Draw(t, "rows")), []byte{}
+		base, value := configurationText(rapid.IntRange(0, 300).Draw(t, "rows")), []byte{}
 		for range rapid.IntRange(0, 4).Draw(t, "pieces") {
 			from := rapid.IntRange(0, len(base)).Draw(t, "from")
 			value = append(value, base[from:]...)
@@ -56,44 +56,44 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(value, got) {
-			t.Fatal("another value")
+			t.Fatal("applying the patch to its base did not give the value that it was made from")
 		}
 	})
 }
 
-// A VM has another version than the one that a patch rests on. It must not take what comes
-// of it for a configuration.
+// A VM has another version than the base of a patch. It must not use the result as a
+// configuration.
 func TestPatchOnAnotherBaseFails(t *testing.T) {
-	p, err := Make(rows(1000), append(rows(1000), "more"...))
+	p, err := Make(configurationText(1000), append(configurationText(1000), "more"...))
 	require.NoError(t, err)
-	got, err := Apply(rows(400), p)
+	got, err := Apply(configurationText(400), p)
 	require.ErrorIs(t, err, ErrPatch, "%d bytes", len(got))
-	_, err = Apply(rows(1000), []byte("no patch"))
+	_, err = Apply(configurationText(1000), []byte("no patch"))
 	require.ErrorIs(t, err, ErrPatch)
 }
 
-func TestHistoryPatchesWhatItKeeps(t *testing.T) {
+func TestHistoryPatchesKeptVersions(t *testing.T) {
 	h := NewHistory()
 	h.Note("small", 1, []byte("x"))
 	_, _, ok := h.Patch("small", 1, 0)
 	require.False(t, ok)
-	for revision := range int64(versions + 2) {
-		h.Note("k", revision+1, rows(800+int(revision)))
+	for revision := range int64(maxVersions + 2) {
+		h.Note("k", revision+1, configurationText(800+int(revision)))
 	}
-	newest := int64(versions + 2)
+	newest := int64(maxVersions + 2)
 	_, _, ok = h.Patch("k", newest-1, 0)
-	require.False(t, ok, "an older version is not passed on")
+	require.False(t, ok, "must not make a patch to an older version")
 	for base := range newest + 1 {
-		p, on, ok := h.Patch("k", newest, base)
+		p, usedBase, ok := h.Patch("k", newest, base)
 		require.True(t, ok)
-		var from []byte
-		if on != 0 {
-			require.Equal(t, base, on)
-			from = rows(800 + int(on) - 1)
+		var baseValue []byte
+		if usedBase != 0 {
+			require.Equal(t, base, usedBase)
+			baseValue = configurationText(800 + int(usedBase) - 1)
 		}
-		require.Equal(t, base > newest-versions, on != 0, "base %d", base)
-		got, err := Apply(from, p)
+		require.Equal(t, base > newest-maxVersions, usedBase != 0, "base %d", base)
+		got, err := Apply(baseValue, p)
 		require.NoError(t, err)
-		require.Equal(t, rows(800+int(newest)-1), got)
+		require.Equal(t, configurationText(800+int(newest)-1), got)
 	}
 }
