--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -5,7 +5,7 @@
 	"github.com/chestnutarch/chestnutarch/internal/peer/peerpb"
 )
 
-// EncodeNode turns a report into its message.
+// EncodeNode converts a report to its message.
 func EncodeNode(n membership.Node) *peerpb.NodeState {
 	return &peerpb.NodeState{
 		Vm:            n.VM,
@@ -27,8 +27,8 @@
 	}
 }
 
-// DecodeNode turns a message into a report. A nil message gives a report
-// without an ID, which membership ignores.
+// DecodeNode converts a message to a report. A nil message gives a report
+// without a VM ID, which package membership ignores.
 func DecodeNode(m *peerpb.NodeState) membership.Node {
 	return membership.Node{
 		VM:            m.GetVm(),
@@ -50,7 +50,7 @@
 	}
 }
 
-// EncodeNodes turns reports into messages.
+// EncodeNodes converts reports to messages.
 func EncodeNodes(nodes []membership.Node) []*peerpb.NodeState {
 	messages := make([]*peerpb.NodeState, 0, len(nodes))
 	for _, n := range nodes {
@@ -59,7 +59,7 @@
 	return messages
 }
 
-// DecodeNodes turns messages into reports.
+// DecodeNodes converts messages to reports.
 func DecodeNodes(messages []*peerpb.NodeState) []membership.Node {
 	nodes := make([]membership.Node, 0, len(messages))
 	for _, m := range messages {
--- a/internal/peer/peerpb/generate.sh
+++ b/internal/peer/peerpb/generate.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Remakes the committed gRPC code from the .proto files. Needs protoc; the two
+# Regenerates the committed gRPC code from the .proto files. Needs protoc; the two
 # plug-ins are pinned as tools in go.mod.
 set -euo pipefail
 cd "$(dirname "$0")"
--- a/internal/peer/pieces.go
+++ b/internal/peer/pieces.go
@@ -16,33 +16,34 @@
 	"github.com/chestnutarch/chestnutarch/internal/transport"
 )
 
-// ErrTooLarge means that a message in pieces is larger than maxPieces.
-var ErrTooLarge = errors.New("peer: the message is too large")
+// ErrTooLarge means that a message in pieces is larger than 32 MiB.
+var ErrTooLarge = errors.New("peer: message in pieces exceeds the size limit")
 
 const (
 	// pieceBytes is the size of a piece: what a link of 1 Mbit/s carries in an eighth of
 	// a second.
 	pieceBytes = 16 << 10
-	// maxPieces bounds a message in pieces, in bytes.
-	maxPieces = 32 << 20
-	// busyEvery is the time between empty pieces, which is below the silence that
-	// receivers allow, and buildLimit how long they come.
-	busyEvery  = 500 * time.Millisecond
-	buildLimit = 5 * time.Second
-	// pieceSilence bounds the time between two pieces. A packet that is lost three times in
-	// a row comes 1.4 s late, which costs less than to begin anew.
-	pieceSilence = 1500 * time.Millisecond
+	// maxAssembledBytes is the largest size of a message in pieces.
+	maxAssembledBytes = 32 << 20
+	// emptyPieceInterval is the time between empty pieces, which is less than the timeouts
+	// of receivers. emptyPieceTimeout is the time after which no more of them are sent.
+	emptyPieceInterval = 500 * time.Millisecond
+	emptyPieceTimeout  = 5 * time.Second
+	// pieceTimeout is the longest time between two pieces. A packet that is lost three times
+	// in a row arrives 1.4 s late, and waiting for it costs less than a new transfer.
+	pieceTimeout = 1500 * time.Millisecond
 )
 
-// Pieces is a stream of a message's pieces, as its receiver sees it.
+// Pieces is the receiving side of a stream of a message's pieces.
 type Pieces = grpc.ServerStreamingClient[peerpb.Piece]
 
-// Open begins a call whose answer comes in pieces.
-type Open func(context.Context, grpc.ClientConnInterface) (Pieces, error)
+// OpenStream starts a call whose answer is a message in pieces.
+type OpenStream func(context.Context, grpc.ClientConnInterface) (Pieces, error)
 
-// SendPieces sends the message that build returns in pieces. While build is at work the
-// receiver gets empty pieces, for buildLimit at most: it could not tell a busy peer from one
-// that has gone silent, and would ask the next one, which is as busy.
+// SendPieces sends the message that build returns in pieces. While build runs, it sends
+// empty pieces, for emptyPieceTimeout at most. Without them, the receiver could not
+// distinguish a busy peer from an unreachable one and would ask the next peer, which is as
+// busy.
 func SendPieces(stream grpc.ServerStreamingServer[peerpb.Piece], build func() (proto.Message, error)) error {
 	type result struct {
 		message proto.Message
@@ -53,29 +54,29 @@
 		message, err := build()
 		built <- result{message, err}
 	}()
-	busy, limit := time.NewTicker(busyEvery), time.NewTimer(buildLimit)
-	defer busy.Stop()
-	defer limit.Stop()
+	emptyPieces, timeout := time.NewTicker(emptyPieceInterval), time.NewTimer(emptyPieceTimeout)
+	defer emptyPieces.Stop()
+	defer timeout.Stop()
 	for {
 		select {
 		case r := <-built:
 			if r.err != nil {
 				return r.err
 			}
-			return sendAll(stream, r.message)
-		case <-busy.C:
+			return sendEncoded(stream, r.message)
+		case <-emptyPieces.C:
 			if err := stream.Send(&peerpb.Piece{}); err != nil {
 				return err
 			}
-		case <-limit.C:
-			busy.Stop()
+		case <-timeout.C:
+			emptyPieces.Stop()
 		case <-stream.Context().Done():
 			return stream.Context().Err()
 		}
 	}
 }
 
-func sendAll(stream grpc.ServerStreamingServer[peerpb.Piece], message proto.Message) error {
+func sendEncoded(stream grpc.ServerStreamingServer[peerpb.Piece], message proto.Message) error {
 	encoded, err := proto.Marshal(message)
 	if err != nil {
 		return errors.WithStack(err)
@@ -88,31 +89,31 @@
 	return nil
 }
 
-// Receive calls the peer at address and reads a message that comes in pieces. The call ends
-// when the first piece does not arrive within silence, or no other one for pieceSilence, not
-// when the whole takes long. It returns how long after the first piece of the message the
-// last one came, and the errors of Call.
-func (p *Pool) Receive(ctx context.Context, address string, silence time.Duration, open Open, message proto.Message) (took time.Duration, err error) {
-	c, err := p.get(address)
+// Receive calls the peer at address and reads a message in pieces. The call fails if the
+// first piece does not arrive within firstPieceTimeout or a later one within pieceTimeout;
+// the total time is not limited. It returns the time from the first piece with data to the
+// last one, and the errors of Call.
+func (p *Pool) Receive(ctx context.Context, address string, firstPieceTimeout time.Duration, open OpenStream, message proto.Message) (transferTime time.Duration, err error) {
+	c, err := p.connection(address)
 	if err != nil {
 		return 0, err
 	}
-	ctx, idle := transport.WithIdle(ctx, silence, pieceSilence)
+	ctx, idle := transport.WithIdle(ctx, firstPieceTimeout, pieceTimeout)
 	defer idle.Stop()
-	arrived := func() {
+	onPiece := func() {
 		idle.Received()
-		p.heard(c)
+		p.resetTimeouts(c)
 	}
-	took, err = receive(ctx, c.conn, open, message, arrived)
+	transferTime, err = receive(ctx, c.conn, open, message, onPiece)
 	if errors.Is(context.Cause(ctx), transport.ErrIdle) {
 		err = status.Error(codes.DeadlineExceeded, transport.ErrIdle.Error())
 	}
-	p.settle(address, c, err)
-	return took, callError(address, err)
+	p.recordOutcome(address, c, err)
+	return transferTime, callError(address, err)
 }
 
-// receive reads a message's pieces and tells arrived of each.
-func receive(ctx context.Context, conn grpc.ClientConnInterface, open Open, message proto.Message, arrived func()) (took time.Duration, err error) {
+// receive reads a message's pieces and calls onPiece for each, empty ones included.
+func receive(ctx context.Context, conn grpc.ClientConnInterface, open OpenStream, message proto.Message, onPiece func()) (transferTime time.Duration, err error) {
 	stream, err := open(ctx, conn)
 	if err != nil {
 		return 0, err
@@ -122,22 +123,22 @@
 	for {
 		piece, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
-			return took, errors.WithStack(proto.Unmarshal(encoded, message))
+			return transferTime, errors.WithStack(proto.Unmarshal(encoded, message))
 		}
 		if err != nil {
 			return 0, err
 		}
-		arrived()
+		onPiece()
 		if len(piece.Data) == 0 {
 			continue
 		}
 		if first.IsZero() {
 			first = time.Now()
 		}
-		took = time.Since(first)
+		transferTime = time.Since(first)
 		encoded = append(encoded, piece.Data...)
-		if len(encoded) > maxPieces {
-			return 0, errors.Wrapf(ErrTooLarge, "%d bytes and more", len(encoded))
+		if len(encoded) > maxAssembledBytes {
+			return 0, errors.Wrapf(ErrTooLarge, "%d bytes received so far", len(encoded))
 		}
 	}
 }
--- a/internal/peer/pieces_test.go
+++ b/internal/peer/pieces_test.go
@@ -15,12 +15,12 @@
 	"github.com/chestnutarch/chestnutarch/internal/peer/peerpb"
 )
 
-// slowPeer sends pieces one at a time, and answers no report.
+// slowPeer sends a piece each time the test asks for one and answers no report.
 type slowPeer struct {
 	peerpb.UnimplementedVMsServer
-	// next lets one piece through; closing it ends the message.
-	next chan struct{}
-	// released ends calls that have no answer.
+	// nextPiece causes one piece to be sent; closing it ends the message.
+	nextPiece chan struct{}
+	// released is closed to end calls that get no answer.
 	released chan struct{}
 }
 
@@ -32,16 +32,16 @@
 	return nil, status.Error(codes.Unavailable, "no answer")
 }
 
-// Configuration is at work until a piece is let through.
+// Configuration builds its message until nextPiece is received.
 func (s *slowPeer) Configuration(in *peerpb.ConfigurationRequest, out grpc.ServerStreamingServer[peerpb.Piece]) error {
 	return SendPieces(out, func() (proto.Message, error) {
-		<-s.next
+		<-s.nextPiece
 		return &peerpb.ConfigurationResponse{Item: &peerpb.StoreItem{Key: "k"}}, nil
 	})
 }
 
 func (s *slowPeer) Follow(_ *peerpb.FollowRequest, out grpc.ServerStreamingServer[peerpb.Piece]) error {
-	for range s.next {
+	for range s.nextPiece {
 		if err := out.Send(&peerpb.Piece{}); err != nil {
 			return err
 		}
@@ -50,7 +50,7 @@
 }
 
 func startSlowPeer(t *testing.T) (*slowPeer, *Pool, string) {
-	s := &slowPeer{next: make(chan struct{}), released: make(chan struct{})}
+	s := &slowPeer{nextPiece: make(chan struct{}), released: make(chan struct{})}
 	server, err := NewServer(Security{AllowPlainText: true})
 	require.NoError(t, err)
 	peerpb.RegisterVMsServer(server.Registrar(), s)
@@ -75,24 +75,25 @@
 }
 
 const (
-	testSilence = 10 * time.Second
-	testTimeout = 50 * time.Millisecond
+	testFirstPieceTimeout = 10 * time.Second
+	testTimeout           = 50 * time.Millisecond
 )
 
 // A large message fills a narrow link, and reports on the same connection time out meanwhile.
-// The connection was then replaced and the message began from its first piece, for ever.
+// Replacing the connection after these timeouts would restart the message from its first
+// piece, again and again.
 func TestTimeoutsOfOtherCallsDoNotEndAMessageThatArrives(t *testing.T) {
 	s, pool, address := startSlowPeer(t)
 	done := make(chan error, 1)
 	go func() {
-		_, err := pool.Receive(t.Context(), address, testSilence, follow, &peerpb.FollowResponse{})
+		_, err := pool.Receive(t.Context(), address, testFirstPieceTimeout, follow, &peerpb.FollowResponse{})
 		done <- err
 	}()
 	for range 2 * maxTimeouts {
 		select {
-		case s.next <- struct{}{}:
+		case s.nextPiece <- struct{}{}:
 		case err := <-done:
-			require.NoError(t, err, "ended while it arrived")
+			require.NoError(t, err, "the message was aborted while its pieces arrived")
 			t.FailNow()
 		}
 		err := pool.Call(t.Context(), address, testTimeout, func(ctx context.Context, conn grpc.ClientConnInterface) error {
@@ -101,31 +102,31 @@
 		})
 		require.ErrorIs(t, err, ErrUnreachable)
 	}
-	close(s.next)
+	close(s.nextPiece)
 	require.NoError(t, <-done)
 }
 
-// A peer goes silent in the middle of a message, without a reset. Whoever waits for the rest
-// for good keeps an old view.
-func TestMessageThatStopsHalfwayIsGivenUp(t *testing.T) {
+// A peer stops answering in the middle of a message, without a reset. A receiver that waited
+// for the rest without a limit would keep an outdated view.
+func TestReceiveTimesOutBetweenPieces(t *testing.T) {
 	s, pool, address := startSlowPeer(t)
-	defer close(s.next)
-	go func() { s.next <- struct{}{} }()
+	defer close(s.nextPiece)
+	go func() { s.nextPiece <- struct{}{} }()
 	_, err := pool.Receive(t.Context(), address, 20*testTimeout, follow, &peerpb.FollowResponse{})
 	require.ErrorIs(t, err, ErrUnreachable)
 }
 
-// A VM with little processor time works out what has changed in a large value. Its peer took
-// it for silent and asked the next one, which began to work it out as well: a VM that the store
-// turned away got no configuration while its peers were busy.
-func TestBusyPeerIsNotSilent(t *testing.T) {
+// A VM with little processor time computes the patch of a large value. If its peer treated it
+// as unreachable and asked the next VM, that one would compute the patch as well, and a VM
+// that the store rejects would get no configuration while its peers are busy.
+func TestEmptyPiecesPreventTimeoutOfBusyPeer(t *testing.T) {
 	s, pool, address := startSlowPeer(t)
 	answer := &peerpb.ConfigurationResponse{}
 	go func() {
-		time.Sleep(2 * busyEvery)
-		s.next <- struct{}{}
+		time.Sleep(2 * emptyPieceInterval)
+		s.nextPiece <- struct{}{}
 	}()
-	_, err := pool.Receive(t.Context(), address, busyEvery*3/2, func(ctx context.Context, conn grpc.ClientConnInterface) (Pieces, error) {
+	_, err := pool.Receive(t.Context(), address, emptyPieceInterval*3/2, func(ctx context.Context, conn grpc.ClientConnInterface) (Pieces, error) {
 		return peerpb.NewVMsClient(conn).Configuration(ctx, &peerpb.ConfigurationRequest{})
 	}, answer)
 	require.NoError(t, err)
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -21,13 +21,13 @@
 	clientPingTimeout = 2 * time.Second
 	reconnectBase     = 100 * time.Millisecond
 	reconnectMax      = 2 * time.Second
-	// maxTimeouts is the number of calls in a row without an answer after which
-	// a connection is replaced. The client's own pings come too seldom to find a
-	// silent connection within the few seconds that leases live.
+	// maxTimeouts is the number of consecutive calls without an answer after which
+	// a connection is replaced. The client's own pings are too rare to detect a
+	// silent connection within the lifetime of leases, which is a few seconds.
 	maxTimeouts = 2
-	// windowBytes is how much a peer may send before it is acknowledged. With a window that
-	// adapts, gRPC adds a ping and its answer to nearly every call, and most calls between
-	// VMs are a few hundred bytes.
+	// windowBytes is the size of the flow-control windows, in bytes. With dynamic windows,
+	// gRPC adds a ping and its answer to nearly every call, and most calls between VMs are a
+	// few hundred bytes.
 	windowBytes = 1 << 20
 )
 
@@ -36,15 +36,17 @@
 	options []grpc.DialOption
 	mu      sync.Mutex
 	closed  bool
-	conns   map[string]*pooled
+	conns   map[string]*pooledConn
 }
 
-type pooled struct {
-	conn     *grpc.ClientConn
+type pooledConn struct {
+	conn *grpc.ClientConn
+	// timeouts counts consecutive calls without an answer.
 	timeouts int
 }
 
-// NewPool returns an empty pool. It returns ErrNoCredentials.
+// NewPool returns an empty pool. It returns ErrNoCredentials if security has neither
+// credentials nor AllowPlainText.
 func NewPool(security Security) (*Pool, error) {
 	transport, err := security.transport()
 	if err != nil {
@@ -52,7 +54,7 @@
 	}
 	retry := backoff.Config{BaseDelay: reconnectBase, Multiplier: 1.6, Jitter: 0.2, MaxDelay: reconnectMax}
 	return &Pool{
-		conns: make(map[string]*pooled),
+		conns: make(map[string]*pooledConn),
 		options: []grpc.DialOption{
 			grpc.WithTransportCredentials(transport),
 			grpc.WithStatsHandler(otelgrpc.NewClientHandler(otelgrpc.WithFilter(traced))),
@@ -61,14 +63,14 @@
 			grpc.WithStaticConnWindowSize(windowBytes),
 			grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: clientPingAfter, Timeout: clientPingTimeout, PermitWithoutStream: true}),
 			grpc.WithConnectParams(grpc.ConnectParams{Backoff: retry, MinConnectTimeout: time.Second}),
-			// A retry inside the library could deliver a call twice.
+			// A retry by the library could deliver a call twice.
 			grpc.WithDisableRetry(),
 			grpc.WithNoProxy(),
 		},
 	}, nil
 }
 
-func (p *Pool) get(address string) (*pooled, error) {
+func (p *Pool) connection(address string) (*pooledConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -81,21 +83,22 @@
 	if err != nil {
 		return nil, errors.Wrapf(ErrUnreachable, "connect to %s: %v", address, err)
 	}
-	c := &pooled{conn: conn}
+	c := &pooledConn{conn: conn}
 	p.conns[address] = c
 	return c, nil
 }
 
-// heard notes that something arrives on a connection. Other calls on it may end without an
-// answer meanwhile, since a large message fills the link.
-func (p *Pool) heard(c *pooled) {
+// resetTimeouts records that data has arrived on a connection. While a large message fills
+// the link, other calls on the connection may time out although the peer is alive.
+func (p *Pool) resetTimeouts(c *pooledConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c.timeouts = 0
 }
 
-// settle counts calls without an answer and drops the connection after a few.
-func (p *Pool) settle(address string, c *pooled, err error) {
+// recordOutcome counts consecutive calls without an answer and closes the connection after
+// maxTimeouts of them.
+func (p *Pool) recordOutcome(address string, c *pooledConn, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if status.Code(err) != codes.DeadlineExceeded {
@@ -110,21 +113,22 @@
 }
 
 // Call makes one call to the peer at address with a deadline. It returns
-// ErrUnreachable when nothing is known of the call's effect, and the call's own
-// error when the peer answered with one.
+// ErrUnreachable, wrapped, if the call's effect is unknown, the call's own error,
+// wrapped, if the peer answered with one, and ErrClosed after Close.
 func (p *Pool) Call(ctx context.Context, address string, timeout time.Duration, call func(context.Context, grpc.ClientConnInterface) error) error {
-	c, err := p.get(address)
+	c, err := p.connection(address)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	err = call(ctx, c.conn)
-	p.settle(address, c, err)
+	p.recordOutcome(address, c, err)
 	return callError(address, err)
 }
 
-// callError tells what a peer answered with from what leaves a call's effect unknown.
+// callError converts the error of a call: to ErrUnreachable if the call's effect is unknown,
+// else to the wrapped error that the peer answered with.
 func callError(address string, err error) error {
 	switch status.Code(err) {
 	case codes.OK:
@@ -136,7 +140,7 @@
 	}
 }
 
-// Heartbeat tells the peer at address how this VM is and returns its answer.
+// Heartbeat sends this VM's report to the peer at address and returns the peer's.
 func (p *Pool) Heartbeat(ctx context.Context, address string, timeout time.Duration, in *peerpb.HeartbeatRequest) (*peerpb.HeartbeatResponse, error) {
 	var out *peerpb.HeartbeatResponse
 	err := p.Call(ctx, address, timeout, func(ctx context.Context, conn grpc.ClientConnInterface) (err error) {
@@ -167,8 +171,8 @@
 	return out, err
 }
 
-// Forget closes the connection to a peer that is gone.
-func (p *Pool) Forget(address string) {
+// Disconnect closes the connection to a peer that has been removed.
+func (p *Pool) Disconnect(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c, ok := p.conns[address]; ok {
--- a/internal/peer/security.go
+++ b/internal/peer/security.go
@@ -5,8 +5,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// Security says how connections between peers are protected. The zero value is
-// refused, so that plain text is never used by oversight.
+// Security configures how connections between peers are protected. The zero value is
+// rejected, so that plain text is never used by mistake.
 type Security struct {
 	// Credentials are the transport credentials, for example for mutual TLS.
 	Credentials credentials.TransportCredentials
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -15,17 +15,18 @@
 
 const (
 	// pingAfter is how long a connection may be idle before it is pinged, and
-	// pingTimeout how long the answer may take. A connection can go silent with
-	// no reset when something between the ends forgets it; without pings every
-	// call on it would wait for its deadline until the kernel gives up, minutes
-	// later. gRPC permits no client ping more often than every ten seconds, so
-	// the server, which may ping more often, watches from its side too, and a
-	// client drops a connection after repeated timeouts (see Pool).
+	// pingTimeout how long the answer may take. A connection can go silent without
+	// a reset when a device between the ends loses its state. Without pings, every
+	// call on it would wait for its deadline until the kernel closes the connection,
+	// minutes later. gRPC permits client pings at most every ten seconds, so the
+	// server, which may ping more often, checks connections too, and a client
+	// closes a connection after repeated timeouts (see Pool).
 	pingAfter   = 2 * time.Second
 	pingTimeout = 2 * time.Second
 	// minClientPing is the shortest interval at which clients may ping.
 	minClientPing = 5 * time.Second
-	// maxMessageBytes bounds one message: a configuration envelope and its frame.
+	// maxMessageBytes is the largest size of one message: a configuration envelope and its
+	// frame.
 	maxMessageBytes = 2 << 20
 )
 
@@ -34,7 +35,8 @@
 	grpc *grpc.Server
 }
 
-// NewServer returns a server with no services. It returns ErrNoCredentials.
+// NewServer returns a server without services. It returns ErrNoCredentials if security has
+// neither credentials nor AllowPlainText.
 func NewServer(security Security) (*Server, error) {
 	transport, err := security.transport()
 	if err != nil {
@@ -61,13 +63,13 @@
 	peerpb.RegisterQuotaServer(s.grpc, q)
 }
 
-// Registrar gives access for further services, before Serve.
+// Registrar returns the registrar for further services, which must be added before Serve.
 func (s *Server) Registrar() grpc.ServiceRegistrar {
 	return s.grpc
 }
 
-// Serve answers calls on lis until ctx ends, then waits for running calls for
-// at most grace. It returns nil after a stop.
+// Serve answers calls on lis until ctx ends, then waits at most grace for running
+// calls. It returns nil after such a stop, and an error if serving fails before.
 func (s *Server) Serve(ctx context.Context, lis net.Listener, grace time.Duration) error {
 	failed := make(chan error, 1)
 	go func() { failed <- s.grpc.Serve(lis) }()
--- a/internal/peer/traced.go
+++ b/internal/peer/traced.go
@@ -6,11 +6,12 @@
 	"github.com/chestnutarch/chestnutarch/internal/peer/peerpb"
 )
 
-// periodic names the calls that VMs make all the time, whoever asks for what.
-var periodic = map[string]bool{
+// periodicCalls holds the full names of the calls that VMs make regularly, independent of
+// requests.
+var periodicCalls = map[string]bool{
 	peerpb.VMs_Exchange_FullMethodName: true, peerpb.VMs_Follow_FullMethodName: true, peerpb.VMs_Sent_FullMethodName: true,
 }
 
-// traced reports whether a call gets a span: those that are a hop of a request, an order or an
-// operator's change do.
-func traced(call *stats.RPCTagInfo) bool { return !periodic[call.FullMethodName] }
+// traced reports whether a call gets a span. Calls that serve a request, an order or an
+// operator's change do; periodic calls do not.
+func traced(call *stats.RPCTagInfo) bool { return !periodicCalls[call.FullMethodName] }
--- a/internal/peer/traced_test.go
+++ b/internal/peer/traced_test.go
@@ -9,9 +9,9 @@
 	"github.com/chestnutarch/chestnutarch/internal/peer/peerpb"
 )
 
-// An operator looks for the hops of one request among spans of reports, which each VM makes
-// several times a second.
-func TestOnlyHopsOfRequestsAreTraced(t *testing.T) {
+// An operator looks for the spans of one request. Spans of reports, which each VM sends
+// several times a second, would bury them.
+func TestPeriodicCallsAreNotTraced(t *testing.T) {
 	require.False(t, traced(&stats.RPCTagInfo{FullMethodName: peerpb.VMs_Exchange_FullMethodName}))
 	require.True(t, traced(&stats.RPCTagInfo{FullMethodName: peerpb.VMs_EnsureAdapter_FullMethodName}))
 }
