--- a/internal/residency/adapters.go
+++ b/internal/residency/adapters.go
@@ -7,21 +7,21 @@
 	"github.com/chestnutarch/chestnutarch/internal/catalog"
 )
 
-// idleBeforeEviction is how long no request may have used an adapter before it makes
-// way for another one: the age of the VMs' reports and a little more, since the unload
-// of an adapter in use waits for its requests.
-const idleBeforeEviction = 600 * time.Millisecond
+// minAdapterIdleTime is how long an adapter must be unused before it may be evicted: a little
+// more than the age of the VMs' reports, since the unload of an adapter in use waits for its
+// requests.
+const minAdapterIdleTime = 600 * time.Millisecond
 
-// AdapterMove says where an adapter goes and which one makes way, "" if none.
+// AdapterMove loads an adapter on an engine.
 type AdapterMove struct {
 	Engine string
-	// Evict is "model/adapter".
+	// Evict is the adapter to unload first, as "model/adapter", or "" if none.
 	Evict string
 }
 
-// PlaceAdapter chooses an engine for an adapter of a model: one with a free place
-// and the least work, else the one whose adapter was used longest ago. ok is false
-// if no engine can take it now.
+// PlaceAdapter chooses an engine for an adapter of a model: the one with the smallest prefill
+// backlog among those with a free slot, else the one whose least recently used adapter was
+// used longest ago. It returns false if no engine can load the adapter now.
 func PlaceAdapter(engines []Engine, spec *catalog.EngineSpec, model string, now time.Time) (AdapterMove, bool) {
 	var best AdapterMove
 	bestFree, bestLoad, found := false, 0, false
@@ -30,17 +30,17 @@
 		if !e.Usable || e.Busy || !e.Models[model] {
 			continue
 		}
-		if fits(e, spec, model) {
-			if !bestFree || e.Load < bestLoad {
-				best, bestFree, bestLoad, found = AdapterMove{Engine: e.ID}, true, e.Load, true
+		if fitsAdapter(e, spec, model) {
+			if !bestFree || e.PrefillBacklog < bestLoad {
+				best, bestFree, bestLoad, found = AdapterMove{Engine: e.ID}, true, e.PrefillBacklog, true
 			}
 			continue
 		}
 		if bestFree {
 			continue
 		}
-		victim, used := leastRecent(e)
-		if victim == "" || now.Sub(used) < idleBeforeEviction {
+		victim, used := leastRecentlyUsed(e)
+		if victim == "" || now.Sub(used) < minAdapterIdleTime {
 			continue
 		}
 		if !found || used.Before(oldest) {
@@ -50,20 +50,20 @@
 	return best, found
 }
 
-// fits reports whether an engine has a place and the memory for one more adapter of
-// the model. An engine that is ordered to hold more than it can crashes.
-func fits(e Engine, spec *catalog.EngineSpec, model string) bool {
+// fitsAdapter reports whether an engine has a slot and the memory for one more adapter of the
+// model. An engine that is ordered to hold more than it can crashes.
+func fitsAdapter(e Engine, spec *catalog.EngineSpec, model string) bool {
 	if len(e.Adapters) >= spec.AdapterSlots {
 		return false
 	}
 	return UsedMB(e, spec)+spec.Models[model].AdapterMB <= spec.WeightsMB
 }
 
-// UsedMB is the memory that an engine's models and adapters take, in 10^6 bytes.
-func UsedMB(e Engine, spec *catalog.EngineSpec) float64 { return usedWithout(e, spec, "") }
+// UsedMB is the memory that an engine's models and adapters occupy, in 10^6 bytes.
+func UsedMB(e Engine, spec *catalog.EngineSpec) float64 { return usedMBWithout(e, spec, "") }
 
-// usedWithout is the same without one model and its adapters.
-func usedWithout(e Engine, spec *catalog.EngineSpec, evicted string) float64 {
+// usedMBWithout is UsedMB without one model and its adapters.
+func usedMBWithout(e Engine, spec *catalog.EngineSpec, evicted string) float64 {
 	sum := 0.0
 	for m := range e.Models {
 		if m != evicted {
@@ -78,7 +78,7 @@
 	return sum
 }
 
-func leastRecent(e Engine) (string, time.Time) {
+func leastRecentlyUsed(e Engine) (string, time.Time) {
 	victim := ""
 	var oldest time.Time
 	for item, used := range e.Adapters {
--- a/internal/residency/adapters_test.go
+++ b/internal/residency/adapters_test.go
@@ -7,19 +7,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAdapterGoesWhereThereIsRoomAndLittleToDo(t *testing.T) {
+func TestAdapterIsPlacedOnLeastLoadedEngineWithRoom(t *testing.T) {
 	now := time.Now()
 	a, b := engine("a", "m0"), engine("b", "m0")
-	a.Load, b.Load = 9000, 100
+	a.PrefillBacklog, b.PrefillBacklog = 9000, 100
 	move, ok := PlaceAdapter([]Engine{a, b, engine("c", "m1")}, testSpec(2), "m0", now)
 	require.True(t, ok)
 	require.Equal(t, AdapterMove{Engine: "b"}, move)
 }
 
-// All places are taken. The adapter that was used longest ago makes way; one that
-// requests use just now must not, since its unload would wait for them and block the
-// engine for other adapters.
-func TestAdapterInUseDoesNotMakeWay(t *testing.T) {
+// All adapter slots are in use. The least recently used adapter is evicted. An adapter with
+// requests in flight must not be: its unload would wait for them and block the engine for
+// other adapters.
+func TestAdapterInUseIsNotEvicted(t *testing.T) {
 	now := time.Now()
 	a, b := engine("a", "m0"), engine("b", "m0")
 	for i, name := range []string{"m0/a1", "m0/a2", "m0/a3", "m0/a4"} {
--- a/internal/residency/doc.go
+++ b/internal/residency/doc.go
@@ -1,10 +1,11 @@
 // Package residency decides which engine holds which models and adapters. It does
-// no I/O: the state of the engines and the demand go in, orders come out.
+// no I/O: it maps the state of the engines and the demand to orders.
 //
-// The load it answers: more adapters than places on any engine, asked for a few at
-// a time, and models whose demand comes and goes within seconds while a load from
-// the weight store takes as long. So adapters are brought when they are asked for,
-// to an engine with little to do, and models are moved only for a reason that
-// outlasts the move. Memory goes to the models that are asked for: of one that is not,
-// some engine keeps the weights at hand, and its first request brings it back.
+// It is designed for two properties of the load. There are more adapters than slots on
+// any engine, and a few of them are requested at a time. The demand for a model rises
+// and falls within seconds, while a load from the weight store takes as long. Adapters
+// are therefore loaded on request, on an engine with little load, and models are moved
+// only for a reason that outlasts the move. Memory goes to the models in demand. Some
+// engine keeps the weights of every other model locally, and the first request for such
+// a model reloads it.
 package residency
--- a/internal/residency/models.go
+++ b/internal/residency/models.go
@@ -9,140 +9,142 @@
 )
 
 const (
-	// worthMoving is the part of a model's level below which an engine's load has to be for
-	// a new copy. Closer than that, a copy would move load about without making the slowest
-	// engine faster.
-	worthMoving = 0.8
-	// leastLevel is the load of an engine from which its streams begin to stand still while
-	// prompts are read: below it another copy serves nobody better.
-	leastLevel = 0.25
-	// leastShare is the part of an engine's time that one copy of a model has to take for
-	// another one to be worth an order. Below it a busy engine is better relieved of
-	// something else.
-	leastShare = 0.1
-	// leastStoreShare is the same for a copy from the weight store. Such loads are few, take
-	// seconds and push other weights off the engine's disk.
-	leastStoreShare = 0.32
-	// storePenalty is by how much an engine that needs the weight store has to be emptier
-	// than one that has the weights at hand, as a part of its time.
-	storePenalty = 0.16
-	// victimShare is the part of a copy's gain that its victim may be worth.
-	victimShare = 0.4
-	// idleDemand is the demand, as a part of an engine's time, below which nobody asks for a
-	// model at present: what is left of the longest prompt after some ten seconds.
+	// maxTargetLoadRatio is the fraction of a model's balanced load below which an engine's
+	// load must lie for the engine to receive a new copy. With a smaller difference a copy
+	// would shift load without making the slowest engine faster.
+	maxTargetLoadRatio = 0.8
+	// minScaleOutLoad is the engine load above which streams begin to stall during prefill.
+	// Below it another copy improves no response.
+	minScaleOutLoad = 0.25
+	// minScaleOutDemand is the fraction of an engine's time that one copy of a model must
+	// take for another copy to be worth an order. Below it, moving another model away
+	// relieves a busy engine more.
+	minScaleOutDemand = 0.1
+	// minStoreLoadDemand is minScaleOutDemand for a copy that is loaded from the weight
+	// store. The store allows few such loads; they take seconds and evict other weights from
+	// the engine's disk.
+	minStoreLoadDemand = 0.32
+	// storeLoadPenalty is by how much the load of an engine that needs the weight store must
+	// be below that of an engine with local weights, as a fraction of its time.
+	storeLoadPenalty = 0.16
+	// maxVictimRatio is the largest demand per copy of an evicted model, as a fraction of
+	// minDemandPerCopy of the model that replaces it.
+	maxVictimRatio = 0.4
+	// idleDemand is the demand, as a fraction of an engine's time, below which a model counts
+	// as not requested at present: what remains of the longest prompt after about ten
+	// seconds.
 	idleDemand = 0.0013
-	// pressedLevel is the load of its engines from which a model gives up no copy to one that is
-	// asked for far less.
-	pressedLevel = 0.5
-	// missingWorth is how much more a copy has to carry than a missing model is asked for to
-	// stay in its place: of the one some callers are refused, of the other all.
-	missingWorth = 8
-	// fewRunning is how many requests a model that makes way may have in flight: most
-	// streams take two to three seconds, so that few are done when its load is due.
-	fewRunning = 3
-	// runningCost is what a request in flight adds to the cost of unloading its model, as a
-	// part of an engine's time. While an unload waits for requests the engine takes no other
-	// order.
-	runningCost = 0.008
-	// lastCopyCost is what the last copy of a model adds, as a part of an engine's time.
-	// Demand comes back within seconds, and all of it is refused while the model is loaded;
-	// another copy of a model that is little used can be spared more easily.
+	// protectedLoad is the load of a model's engines above which none of its copies is evicted
+	// for a model with far less demand.
+	protectedLoad = 0.5
+	// missingModelRatio is how many times the demand for a missing model a copy of another
+	// model must carry to be kept in its place. Without the copy, some callers of its model
+	// are refused; without the missing model, all of its callers are.
+	missingModelRatio = 8
+	// maxVictimInFlight is how many requests an evicted model may have in flight. Most
+	// streams take two to three seconds, so few of them end before the load is due.
+	maxVictimInFlight = 3
+	// inFlightCost is what a request in flight adds to the cost of unloading its model, as a
+	// fraction of an engine's time. While an unload waits for requests the engine accepts no
+	// other order.
+	inFlightCost = 0.008
+	// lastCopyCost is what unloading the last copy of a model adds, as a fraction of an
+	// engine's time. Demand returns within seconds, and all of it is refused while the model
+	// is loaded. Evicting one of several copies of a rarely used model costs less.
 	lastCopyCost = 0.1
 )
 
-// ModelMove brings a model to an engine. Evict names the model that makes way, ""
-// if none.
+// ModelMove loads a model on an engine. Evict names the model to unload first, "" if none.
 type ModelMove struct {
 	Engine, Load, Evict string
-	// FromStore says that the weights come from the weight store.
+	// FromStore reports whether the weights come from the weight store.
 	FromStore bool
-	// Reason is for logs.
+	// Reason appears in logs only.
 	Reason string
 }
 
-// Fleet is what a plan is made from.
+// Fleet is the input of a plan.
 type Fleet struct {
 	Engines []Engine
 	Spec    *catalog.EngineSpec
-	// Demand is the engine time asked for in a second by model, in seconds: 1 is what one
-	// engine can do. Certain is what it is at least.
-	Demand, Certain map[string]float64
-	// Idle names the models that nobody has asked for of late.
+	// Demand is the engine time requested per second by model, in seconds: 1 is the capacity
+	// of one engine. MinDemand is its lower bound.
+	Demand, MinDemand map[string]float64
+	// Idle holds the models without recent requests.
 	Idle map[string]bool
-	// Settled says until when a model on an engine stays, by engine and model, so
-	// that no copy is dropped right after it came.
-	Settled map[string]time.Time
-	// StoreLoads is how many loads from the weight store may begin now.
-	StoreLoads int
-	Now        time.Time
+	// PinnedUntil is the time before which a model is not evicted from an engine, by PinKey,
+	// so that no copy is dropped right after it was loaded.
+	PinnedUntil map[string]time.Time
+	// StoreLoadBudget is how many loads from the weight store may begin now.
+	StoreLoadBudget int
+	Now             time.Time
 }
 
-// planState is a fleet with the sums that a plan needs, changed by each move.
+// planState is a fleet with the totals that a plan needs, updated by each move.
 type planState struct {
 	Fleet
-	// copies counts the engines that hold a model or load it, ready those that can be
-	// used.
-	copies, ready map[string]int
-	// load is the engine time that is asked of each engine in a second, parts what each model
-	// brings to its holders of it, level the load up to which a model fills them.
-	load  map[string]float64
-	parts map[string]map[string]float64
-	level map[string]float64
-	// waiting names the models whose loads wait for unloads that take too long.
-	waiting map[string]bool
-	// reserve is the memory in MB that is kept for adapters on each engine.
-	reserve float64
-	// last counts the models of which an engine has the only copy; nil until it is asked for
-	// after a move.
-	last map[string]int
-	// byLoad lists the engines, those with the least load first; nil as last is.
+	// copies counts the engines that hold or are loading a model, usableCopies those where
+	// it can be used.
+	copies, usableCopies map[string]int
+	// engineLoad is the engine time requested of each engine per second, by engine.
+	// modelLoad is the part of it that each model contributes, by model and engine.
+	// balancedLoad is the load up to which a model's demand fills its holders, by model.
+	engineLoad   map[string]float64
+	modelLoad    map[string]map[string]float64
+	balancedLoad map[string]float64
+	// delayed holds the models whose loads wait for unloads that take too long.
+	delayed map[string]bool
+	// reserveMB is the memory kept free for adapters on each engine.
+	reserveMB float64
+	// lastCopyCounts caches countLastCopies; nil after a move.
+	lastCopyCounts map[string]int
+	// byLoad caches leastLoadedFirst; nil after a move.
 	byLoad []*Engine
 	moves  []ModelMove
 }
 
-// PlanModels returns moves for engines that have none under way, at most one for
-// each: first models that are asked for and that no engine holds, then further copies of
-// models whose engines have much more to do than others, then copies in memory that is
-// free.
+// PlanModels returns moves for engines that have none in progress, at most one for each:
+// first models in demand that no engine holds, then further copies of models whose engines
+// have much more load than others, then copies in free memory.
 //
-// A model that nobody asks for need not take up memory: it stays reachable as long as an
-// engine has its weights at hand, which brings it back within a second of the first
+// A model without requests need not occupy memory: it stays reachable as long as an engine
+// has its weights locally, since that engine reloads it within a second of the first
 // request. Of some thirty models a few are busy at a time, and keeping one copy of each of
-// the others would leave the busy ones half of the engines.
+// the others would leave only half of the engines to the busy ones.
 func PlanModels(f Fleet) []ModelMove {
 	s := &planState{
-		Fleet: f, copies: make(map[string]int), ready: make(map[string]int), waiting: make(map[string]bool), reserve: adapterReserve(f.Spec),
+		Fleet: f, copies: make(map[string]int), usableCopies: make(map[string]int), delayed: make(map[string]bool), reserveMB: adapterReserve(f.Spec),
 	}
 	for _, e := range f.Engines {
-		if e.Waiting != "" {
-			s.waiting[e.Waiting] = true
+		if e.DelayedLoad != "" {
+			s.delayed[e.DelayedLoad] = true
 		}
 		if !e.Usable {
 			continue
 		}
 		for m := range e.Models {
-			s.ready[m]++
+			s.usableCopies[m]++
 		}
-		if e.Coming != "" {
-			// A load takes seconds; until then the copy counts as there, or each plan
+		if e.Loading != "" {
+			// A load takes seconds. Until it ends the copy counts as present, or each plan
 			// would order one more.
-			e.Models[e.Coming] = true
+			e.Models[e.Loading] = true
 		}
 		for m := range e.Models {
 			s.copies[m]++
 		}
 	}
-	s.weigh()
+	s.balanceLoad()
 	s.restoreMissing()
-	s.spreadBusy()
-	s.restoreDistant()
-	s.spreadAhead()
-	s.fillFree()
+	s.scaleOutBusy()
+	s.restoreStoreOnly()
+	s.preplaceAdapterModels()
+	s.fillFreeMemory()
 	return s.moves
 }
 
-// adapterReserve is the memory kept for adapters, so that a model that is brought does not
-// leave an engine without room for any.
+// adapterReserve returns the memory in MB to keep free for adapters, so that loading a model
+// does not leave an engine without room for any adapter.
 func adapterReserve(spec *catalog.EngineSpec) float64 {
 	largest := 0.0
 	for _, m := range spec.Models {
@@ -153,17 +155,17 @@
 	return largest * float64(spec.AdapterSlots)
 }
 
-// idle reports whether nobody asks for a model at present.
+// idle reports whether a model has no recent requests.
 func (s *planState) idle(m string) bool { return s.Idle[m] }
 
-// byDemand returns all models of the service, those asked for most first.
+// byDemand returns all models of the service in descending order of demand per copy.
 func (s *planState) byDemand() []string {
 	names := make([]string, 0, len(s.Spec.Models))
 	for m := range s.Spec.Models {
 		names = append(names, m)
 	}
 	slices.SortFunc(names, func(a, b string) int {
-		switch x, y := s.share(a), s.share(b); {
+		switch x, y := s.demandPerCopy(a), s.demandPerCopy(b); {
 		case x > y:
 			return -1
 		case x < y:
@@ -174,57 +176,60 @@
 	return names
 }
 
-// share is the demand that one copy of a model carries.
-func (s *planState) share(m string) float64 { return s.Demand[m] / float64(max(1, s.copies[m])) }
+// demandPerCopy is the demand that one copy of a model carries.
+func (s *planState) demandPerCopy(m string) float64 {
+	return s.Demand[m] / float64(max(1, s.copies[m]))
+}
 
-// certainShare is the demand that one copy carries at least.
-func (s *planState) certainShare(m string) float64 {
-	return s.Certain[m] / float64(max(1, s.copies[m]))
+// minDemandPerCopy is the lower bound of the demand that one copy of a model carries.
+func (s *planState) minDemandPerCopy(m string) float64 {
+	return s.MinDemand[m] / float64(max(1, s.copies[m]))
 }
 
-// restoreMissing brings every model that is asked for and that no engine holds to one.
-// Until it is there its callers wait or are refused. It takes the place of a model that
-// is asked for less and that few requests use just now; of another one only if there is
-// none, and once: with a second engine that waits for its streams the busy model would
-// lose one engine after the other.
+// restoreMissing loads every model that is in demand and that no engine holds. Until it is
+// loaded its callers wait or are refused. It replaces a model with less demand and few
+// requests in flight, or, if there is none, any model that evictableForMissing admits. The
+// latter happens once per missing model: if a second engine waited for its streams to end,
+// the busy model would lose one engine after the other.
 func (s *planState) restoreMissing() {
 	for _, m := range s.byDemand() {
 		if s.copies[m] > 0 || s.idle(m) {
 			continue
 		}
-		if !s.bring(m, "missing", anywhere, s.quiet(s.Demand[m])) && !s.waiting[m] {
-			s.bring(m, "missing", anywhere, s.unpressed(m))
+		if !s.placeModel(m, "missing", zeroCost, s.evictableBelow(s.Demand[m])) && !s.delayed[m] {
+			s.placeModel(m, "missing", zeroCost, s.evictableForMissing(m))
 		}
 	}
 }
 
-// unpressed lets models make way for a missing one whose engines are not full, or whose copies
-// do not carry many times what it is asked for: a copy that carries twenty requests a second
-// is worth more than one that carries one, although the other one's callers find none.
-func (s *planState) unpressed(m string) victims {
+// evictableForMissing admits models whose engines are not full, or whose copies do not carry
+// many times the demand for the missing model m. A copy that serves twenty requests a second
+// is worth more than one that serves a single request, although all callers of the missing
+// model are refused.
+func (s *planState) evictableForMissing(m string) evictionFilter {
 	return func(e Engine, v string) bool {
-		return s.mayLeave(e, v) && (s.level[v] <= pressedLevel || s.share(v) <= missingWorth*s.Demand[m])
+		return s.copyExpendable(e, v) && (s.balancedLoad[v] <= protectedLoad || s.demandPerCopy(v) <= missingModelRatio*s.Demand[m])
 	}
 }
 
-// restoreDistant brings every model to an engine that neither an engine holds nor has at
-// hand: its first caller would wait for a load from the weight store.
-func (s *planState) restoreDistant() {
+// restoreStoreOnly loads every model that no engine holds and whose weights no engine has
+// locally: its first caller would wait for a load from the weight store.
+func (s *planState) restoreStoreOnly() {
 	for _, m := range s.byDemand() {
-		if s.copies[m] == 0 && !s.atHand(m) {
-			s.bring(m, "missing", anywhere, s.quiet(idleDemand))
+		if s.copies[m] == 0 && !s.hasLocalWeights(m) {
+			s.placeModel(m, "missing", zeroCost, s.evictableBelow(idleDemand))
 		}
 	}
 }
 
-// atHand reports whether an engine that can be used has the weights of a model.
-func (s *planState) atHand(m string) bool {
+// hasLocalWeights reports whether a usable engine has the weights of a model locally.
+func (s *planState) hasLocalWeights(m string) bool {
 	for _, e := range s.Engines {
-		if e.Usable && e.Quick[m] {
+		if e.Usable && e.LocalWeights[m] {
 			return true
 		}
 	}
 	return false
 }
 
-func anywhere(Engine) float64 { return 0 }
+func zeroCost(Engine) float64 { return 0 }
--- a/internal/residency/state.go
+++ b/internal/residency/state.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Engine is what is known of one engine.
+// Engine is the state of one engine as the planner knows it.
 type Engine struct {
 	ID string
-	// Models is what it holds and can use.
+	// Models holds the models that are loaded and usable.
 	Models map[string]bool
-	// Adapters is what it holds, "model/adapter", with the time of the last use.
+	// Adapters holds the time of the last use of each loaded adapter, by "model/adapter".
 	Adapters map[string]time.Time
-	// Coming is a model that is being loaded, "" if none.
-	Coming string
-	// Busy engines take no orders about models.
+	// Loading is the model that is being loaded, "" if none.
+	Loading string
+	// Busy reports that the engine accepts no orders about models.
 	Busy bool
-	// Usable engines are neither draining nor silent.
+	// Usable reports that the engine is neither draining nor silent.
 	Usable bool
-	// Load is the work that waits there, in tokens to be read.
-	Load int
-	// Waiting is a model whose load waits for an unload that takes too long, "" if none.
-	Waiting string
-	// Running is how many requests are in flight by model, as far as is known.
-	Running map[string]int
-	// Quick names the models that it can load without the weight store.
-	Quick map[string]bool
+	// PrefillBacklog is the number of prompt tokens that await prefill.
+	PrefillBacklog int
+	// DelayedLoad is a model whose load waits for an unload that takes too long, "" if none.
+	DelayedLoad string
+	// InFlight is the known number of requests in flight, by model.
+	InFlight map[string]int
+	// LocalWeights holds the models that the engine can load without the weight store.
+	LocalWeights map[string]bool
 }
 
-// Item names a model or one of its adapters.
+// Item returns the name of a model, "model", or of one of its adapters, "model/adapter".
 func Item(model, adapter string) string {
 	if adapter == "" {
 		return model
--- a/internal/vm/plan.go
+++ b/internal/vm/plan.go
@@ -146,13 +146,13 @@
 	}
 	l.loads.refill(spec.LoadsPerSecond*loadCaution, now)
 	f := residency.Fleet{
-		Engines: engines, Spec: spec, Demand: make(map[string]float64), Certain: make(map[string]float64), Idle: make(map[string]bool), Settled: l.settledUntil,
-		StoreLoads: l.storeLoads(spec), Now: now,
+		Engines: engines, Spec: spec, Demand: make(map[string]float64), MinDemand: make(map[string]float64), Idle: make(map[string]bool), PinnedUntil: l.settledUntil,
+		StoreLoadBudget: l.storeLoads(spec), Now: now,
 	}
 	for m := range spec.Models {
 		if r := l.rates[m]; r != nil {
 			r.decay(now)
-			f.Demand[m], f.Certain[m] = r.share, r.certain()
+			f.Demand[m], f.MinDemand[m] = r.share, r.certain()
 		}
 		f.Demand[m] = max(f.Demand[m], l.first.demand(m, now))
 		f.Idle[m] = l.first.over(now) && now.Sub(l.used[m]) > idleTime
@@ -195,7 +195,7 @@
 	if move.FromStore {
 		l.loads.tokens--
 	}
-	l.settledUntil[residency.SettledKey(move.Engine, move.Load)] = time.Now().Add(settleTime)
+	l.settledUntil[residency.PinKey(move.Engine, move.Load)] = time.Now().Add(settleTime)
 	l.mu.Unlock()
 	l.p.log.Info().Str("event", "model_move").Str("instance", move.Engine).Str("load", move.Load).Str("evict", move.Evict).
 		Bool("from_store", move.FromStore).Str("reason", move.Reason).Send()
--- a/internal/vm/planner.go
+++ b/internal/vm/planner.go
@@ -263,8 +263,8 @@
 		}
 		load, usable := loads[id]
 		e := residency.Engine{
-			ID: id, Models: maps.Clone(b.models), Adapters: make(map[string]time.Time, len(b.adapters)), Busy: b.busy, Coming: b.coming,
-			Usable: usable && !l.draining(id), Load: load.PrefillTokens, Quick: b.quick, Running: load.Running, Waiting: b.waiting,
+			ID: id, Models: maps.Clone(b.models), Adapters: make(map[string]time.Time, len(b.adapters)), Busy: b.busy, Loading: b.coming,
+			Usable: usable && !l.draining(id), PrefillBacklog: load.PrefillTokens, LocalWeights: b.quick, InFlight: load.Running, DelayedLoad: b.waiting,
 		}
 		for item := range b.adapters {
 			e.Adapters[item] = l.used[item]
