--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	// lease is the time to live of the leader's lease, before the store's minimum.
-	// A leader that dies is missed for this long and the settling time after it;
-	// a shorter lease would end in a short spell of lost packets.
-	lease = 1600 * time.Millisecond
-	// renewals is how many renewals fit into a lease, so that some may be lost.
-	renewals = 5
-	// margin is how long before the lease can end the leader stops: the time that an
-	// order needs to arrive.
-	margin = 400 * time.Millisecond
+	// leaseTTL is the time to live of the leader's lease, unless the store's minimum is
+	// longer. After a leader dies, nobody leads for this time plus the takeover delay. A
+	// shorter lease would expire during a short period of packet loss.
+	leaseTTL = 1600 * time.Millisecond
+	// renewalsPerLease is how many renewals fit into a lease, so that some may be lost.
+	renewalsPerLease = 5
+	// authorityMargin is how long before its lease can expire the leader stops acting: the
+	// time that an order needs to arrive.
+	authorityMargin = 400 * time.Millisecond
 )
 
-// Term is what is known of the current leader.
+// Term identifies the leader that the store names.
 type Term struct {
 	VM string
-	// Token grows with every new leader: the store's revision of its election.
+	// Token is the fencing token: the store's revision of the leader's election. It
+	// increases with every election.
 	Token int64
 }
 
@@ -37,19 +38,20 @@
 	Store store.Store
 	// VM is this VM's ID.
 	VM string
-	// Prefix is the prefix of the keys.
+	// Prefix is the prefix of the candidate's keys in the store.
 	Prefix string
 	// LeaseMin is the shortest lease of the store.
 	LeaseMin time.Duration
-	// Settle is how long a leader waits before it acts if another VM led before.
+	// Settle is the takeover delay: how long a new leader waits before it acts if another
+	// process led before it.
 	Settle time.Duration
 	Clock  clock.Func
-	// Stands reports whether this VM stands for election now. Nil means always.
+	// Stands reports whether this VM may campaign for the lease now. Nil means always.
 	Stands func() bool
 	Log    zerolog.Logger
 }
 
-// Candidate takes part in elections. It is safe for concurrent use.
+// Candidate takes part in leader elections. It is safe for concurrent use.
 type Candidate struct {
 	options Options
 	ttl     time.Duration
@@ -57,105 +59,107 @@
 	mu      sync.Mutex
 	token   int64
 	leaseID store.LeaseID
-	// until is when authority ends, as elapsed time since renewed.
-	renewed clock.Reading
-	valid   time.Duration
-	settled clock.Reading
-	settle  time.Duration
-	// lapsed says that the log has told of the end of authority.
-	lapsed bool
-	// seen is the leader by the newest state of the store.
-	seen    store.Item
-	hasSeen bool
-	// last is the item of the last election that took effect, won the token of the last
-	// one that this process knows to have won.
-	last  store.Item
-	won   int64
-	known bool
-	// succeeds says that another process led before this VM won its election.
-	succeeds bool
+	// renewedAt is when the grant or the last successful renewal of the lease was sent.
+	// Authority begins takeoverDelay after electedAt and ends validFor after renewedAt.
+	renewedAt     clock.Reading
+	validFor      time.Duration
+	electedAt     clock.Reading
+	takeoverDelay time.Duration
+	// lapseLogged reports that the end of authority has been logged.
+	lapseLogged bool
+	// leaderItem is the leader's item in the newest observed state of the store.
+	leaderItem store.Item
+	hasLeader  bool
+	// lastElection is the item of the last election that took effect. lastWon is the token
+	// of the last election that this process knows to have won.
+	lastElection store.Item
+	lastWon      int64
+	observed     bool
+	// hasPredecessor reports that another process led before this VM won its election.
+	hasPredecessor bool
 	// elected is signalled when this VM has won an election.
 	elected chan struct{}
 }
 
-// record is the value of both keys.
-type record struct {
+// electionRecord is the value of both keys.
+type electionRecord struct {
 	VM    string `json:"vm"`
 	Token int64  `json:"token,omitempty"`
 }
 
-// New returns a candidate that leads nothing.
+// New returns a candidate that does not hold the lease.
 func New(o Options) *Candidate {
-	return &Candidate{options: o, ttl: max(lease, o.LeaseMin), elected: make(chan struct{}, 1)}
+	return &Candidate{options: o, ttl: max(leaseTTL, o.LeaseMin), elected: make(chan struct{}, 1)}
 }
 
-// Elected returns a channel that gets a value when this VM has won an election. It may not
-// act yet: see Authority.
+// Elected returns a channel that receives a value when this VM has won an election. The VM may
+// not be allowed to act yet: see Authority.
 func (c *Candidate) Elected() <-chan struct{} { return c.elected }
 
 func (c *Candidate) leaderKey() string { return c.options.Prefix + "leader" }
 
-// lastKey outlives every leader. It tells a successor that somebody led before.
+// lastKey is the key of the last election. It is not bound to a lease, so a successor can see
+// that another process led before.
 func (c *Candidate) lastKey() string { return c.options.Prefix + "last-leader" }
 
-// Observe takes what the store holds under the candidate's keys: found says
-// whether a leader's key exists.
+// Observe updates the candidate from items, the contents of the store by key.
 func (c *Candidate) Observe(items map[string]store.Item) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.seen, c.hasSeen = items[c.leaderKey()]
-	c.known = true
-	c.last = items[c.lastKey()]
+	c.leaderItem, c.hasLeader = items[c.leaderKey()]
+	c.observed = true
+	c.lastElection = items[c.lastKey()]
 }
 
-// Leader returns the leader that the store names.
+// Leader returns the leader that the newest observed state of the store names, and whether it
+// names one.
 func (c *Candidate) Leader() (Term, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.hasSeen {
+	if !c.hasLeader {
 		return Term{}, false
 	}
-	vm := vmOf(c.seen)
-	return Term{VM: vm, Token: c.seen.Revision}, vm != ""
+	vm := vmOf(c.leaderItem)
+	return Term{VM: vm, Token: c.leaderItem.Revision}, vm != ""
 }
 
-// Authority returns the token under which this VM may act now. Before every order
-// it has to be asked again.
+// Authority returns the fencing token under which this VM may act now, and whether it may. It
+// has to be called before every order.
 func (c *Candidate) Authority() (token int64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.options.Clock()
-	if c.token == 0 || clock.Elapsed(c.renewed, now) >= c.valid || clock.Elapsed(c.settled, now) < c.settle {
+	if c.token == 0 || clock.Elapsed(c.renewedAt, now) >= c.validFor || clock.Elapsed(c.electedAt, now) < c.takeoverDelay {
 		return 0, false
 	}
 	return c.token, true
 }
 
-// Succeeds reports whether another process led before this VM won its last election.
-func (c *Candidate) Succeeds() bool {
+// HasPredecessor reports whether another process led before this VM won its last election.
+func (c *Candidate) HasPredecessor() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.succeeds
+	return c.hasPredecessor
 }
 
-// Holds reports whether this VM has won an election and does not know of its end: authority
-// may come back.
-func (c *Candidate) Holds() bool {
+// HasTerm reports whether this VM has won an election and has not learned that the term ended.
+// Authority that has lapsed may return while it does.
+func (c *Candidate) HasTerm() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.token != 0
 }
 
-// Leads reports whether this VM holds the lease, settled or not.
+// Leads reports whether this VM holds the lease by its own clock, during the takeover delay too.
 func (c *Candidate) Leads() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.token != 0 && clock.Elapsed(c.renewed, c.options.Clock()) < c.valid
+	return c.token != 0 && clock.Elapsed(c.renewedAt, c.options.Clock()) < c.validFor
 }
 
-// Run takes part until ctx ends, then gives the lease back.
+// Run campaigns for the lease and renews it until ctx ends, then revokes it.
 func (c *Candidate) Run(ctx context.Context) error {
-	ticker := time.NewTicker(c.ttl / renewals)
+	ticker := time.NewTicker(c.ttl / renewalsPerLease)
 	defer ticker.Stop()
 	for {
 		select {
@@ -170,19 +174,19 @@
 
 func (c *Candidate) step(ctx context.Context) {
 	c.mu.Lock()
-	leading, vacant := c.token != 0, c.known && !c.hasSeen
+	leading, vacant := c.token != 0, c.observed && !c.hasLeader
 	c.mu.Unlock()
 	switch {
 	case leading:
 		c.renew(ctx)
 	case vacant && (c.options.Stands == nil || c.options.Stands()):
-		c.elect(ctx)
+		c.campaign(ctx)
 	}
 }
 
-// renew keeps the lease. A lease that is renewed has not ended, so that nobody else can have
-// led meanwhile, however long the store was away: the term goes on. Until then its authority
-// has lapsed by this VM's own clock.
+// renew renews the lease. A lease that can be renewed has not expired, so nobody else can have
+// led meanwhile, however long the store was unavailable, and the term continues. Until the
+// renewal succeeds, authority has lapsed by this VM's own clock.
 func (c *Candidate) renew(ctx context.Context) {
 	sent := c.options.Clock()
 	err := c.options.Store.Renew(ctx, c.leaseID)
@@ -190,35 +194,36 @@
 	defer c.mu.Unlock()
 	switch {
 	case err == nil:
-		c.renewed = sent
-		if c.lapsed {
+		c.renewedAt = sent
+		if c.lapseLogged {
 			c.options.Log.Info().Str("event", "leadership_regained").Int64("token", c.token).Send()
 		}
-		c.lapsed = false
+		c.lapseLogged = false
 	case errors.Is(err, store.ErrLeaseGone):
 		c.options.Log.Warn().Str("event", "leadership_lost").Int64("token", c.token).AnErr("cause", err).Send()
-		c.token, c.known, c.lapsed = 0, false, false
-	case !c.lapsed && clock.Elapsed(c.renewed, c.options.Clock()) >= c.valid:
+		c.token, c.observed, c.lapseLogged = 0, false, false
+	case !c.lapseLogged && clock.Elapsed(c.renewedAt, c.options.Clock()) >= c.validFor:
 		c.options.Log.Warn().Str("event", "leadership_lapsed").Int64("token", c.token).AnErr("cause", err).Send()
-		c.lapsed = true
+		c.lapseLogged = true
 	}
 }
 
-func (c *Candidate) elect(ctx context.Context) {
+func (c *Candidate) campaign(ctx context.Context) {
 	sent := c.options.Clock()
 	id, ttl, err := c.options.Store.Grant(ctx, c.ttl)
 	if err != nil {
 		return
 	}
-	value, err := json.Marshal(record{VM: c.options.VM})
+	value, err := json.Marshal(electionRecord{VM: c.options.VM})
 	if err != nil {
 		return
 	}
 	c.mu.Lock()
-	last := c.last
+	last := c.lastElection
 	c.mu.Unlock()
 	revision, err := c.options.Store.Commit(ctx, store.Change{
-		// Whether to settle is decided by the last election, so it has to be the last one.
+		// The takeover delay depends on the last election, so the commit fails if there has
+		// been a later one.
 		Conditions: []store.Condition{{Key: c.leaderKey(), Revision: 0}, {Key: c.lastKey(), Revision: last.Revision}},
 		Puts: []store.Put{
 			{Key: c.leaderKey(), Value: value, Lease: id},
@@ -226,37 +231,38 @@
 		},
 	})
 	if err != nil {
-		// Without the lease the key cannot last, should it have been written.
+		// The commit may have taken effect. Without the lease the leader key does not persist.
 		_ = c.options.Store.Revoke(ctx, id)
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.settled, c.settle = c.options.Clock(), c.settleTime(last)
-	c.succeeds = last.Revision != 0 && last.Revision != c.won
-	c.token, c.leaseID, c.won = revision, id, revision
-	c.renewed, c.valid = sent, ttl-margin
+	c.electedAt, c.takeoverDelay = c.options.Clock(), c.takeoverDelayAfter(last)
+	c.hasPredecessor = last.Revision != 0 && last.Revision != c.lastWon
+	c.token, c.leaseID, c.lastWon = revision, id, revision
+	c.renewedAt, c.validFor = sent, ttl-authorityMargin
 	select {
 	case c.elected <- struct{}{}:
 	default:
 	}
 	c.options.Log.Info().Str("event", "leadership_won").Int64("token", revision).
-		Str("previous", vmOf(last)).Dur("settle_ms", c.settle).Send()
+		Str("previous", vmOf(last)).Dur("settle_ms", c.takeoverDelay).Send()
 }
 
-// settleTime is the wait before the first act after an election that follows last: none if
-// nobody led before, or this process did. That last names this VM is not enough: an election
-// whose answer was lost leaves it, although another VM may have given orders a moment before.
-func (c *Candidate) settleTime(last store.Item) time.Duration {
-	if last.Revision == 0 || last.Revision == c.won {
+// takeoverDelayAfter returns the wait before the first order after an election that follows
+// last: zero if nobody led before, or if this process did. It is not enough that last names this
+// VM: an election whose reply was lost leaves such an item, although another VM may have given
+// orders a moment before.
+func (c *Candidate) takeoverDelayAfter(last store.Item) time.Duration {
+	if last.Revision == 0 || last.Revision == c.lastWon {
 		return 0
 	}
 	return c.options.Settle
 }
 
-// vmOf returns the VM that an item of an election names, "" if it names none.
+// vmOf returns the VM that an election's item names, "" if it names none.
 func vmOf(i store.Item) string {
-	var r record
+	var r electionRecord
 	if json.Unmarshal(i.Value, &r) != nil {
 		return ""
 	}
@@ -266,7 +272,7 @@
 func (c *Candidate) resign(ctx context.Context) {
 	c.mu.Lock()
 	token, id := c.token, c.leaseID
-	c.token, c.lapsed = 0, false
+	c.token, c.lapseLogged = 0, false
 	c.mu.Unlock()
 	if token != 0 {
 		_ = c.options.Store.Revoke(ctx, id)
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -15,29 +15,29 @@
 	"github.com/chestnutarch/chestnutarch/internal/store"
 )
 
-// fakeStore grants everything unless it is away.
+// fakeStore grants every lease unless it is unavailable.
 type fakeStore struct {
 	store.Store
-	revision int64
-	items    map[string]store.Item
-	away     bool
-	revoked  int
-	leases   store.LeaseID
-	// loseCommits makes commits take effect without an answer.
-	loseCommits bool
+	revision    int64
+	items       map[string]store.Item
+	unavailable bool
+	revoked     int
+	leases      store.LeaseID
+	// loseCommitReplies makes commits take effect but return store.ErrUnknown.
+	loseCommitReplies bool
 }
 
 func (f *fakeStore) Grant(context.Context, time.Duration) (store.LeaseID, time.Duration, error) {
-	if f.away {
+	if f.unavailable {
 		return 0, 0, store.ErrUnknown
 	}
 	f.leases++
-	return f.leases, lease, nil
+	return f.leases, leaseTTL, nil
 }
 
 // Renew finds a lease as long as a key is bound to it.
 func (f *fakeStore) Renew(_ context.Context, id store.LeaseID) error {
-	if f.away {
+	if f.unavailable {
 		return store.ErrUnknown
 	}
 	for _, item := range f.items {
@@ -63,194 +63,194 @@
 	for _, p := range c.Puts {
 		f.items[p.Key] = store.Item{Key: p.Key, Value: p.Value, Revision: f.revision, Lease: p.Lease}
 	}
-	if f.loseCommits {
+	if f.loseCommitReplies {
 		return 0, errors.WithStack(store.ErrUnknown)
 	}
 	return f.revision, nil
 }
 
-// world is a candidate with clocks that the test turns.
-type world struct {
+// testCandidate is a candidate with clocks that the test advances.
+type testCandidate struct {
 	*Candidate
 	store      *fakeStore
 	mono, wall time.Duration
 }
 
-func newWorld(vm string, s *fakeStore) *world {
-	w := &world{store: s}
-	w.Candidate = New(Options{
+func newTestCandidate(vm string, s *fakeStore) *testCandidate {
+	c := &testCandidate{store: s}
+	c.Candidate = New(Options{
 		Store: s, VM: vm, Prefix: "x/", Settle: 3 * time.Second, Log: zerolog.Nop(),
-		Clock: func() clock.Reading { return clock.Reading{Mono: w.mono, Wall: time.Unix(0, 0).Add(w.wall)} },
+		Clock: func() clock.Reading { return clock.Reading{Mono: c.mono, Wall: time.Unix(0, 0).Add(c.wall)} },
 	})
-	return w
+	return c
 }
 
-func (w *world) pass(d time.Duration) { w.mono, w.wall = w.mono+d, w.wall+d }
+func (c *testCandidate) advance(d time.Duration) { c.mono, c.wall = c.mono+d, c.wall+d }
 
-func (w *world) elect() {
-	w.Observe(w.store.items)
-	w.step(context.Background())
+func (c *testCandidate) observeAndStep() {
+	c.Observe(c.store.items)
+	c.step(context.Background())
 }
 
 func TestFirstLeaderActsAtOnce(t *testing.T) {
-	w := newWorld("a", &fakeStore{items: map[string]store.Item{}})
-	w.elect()
-	token, ok := w.Authority()
+	c := newTestCandidate("a", &fakeStore{items: map[string]store.Item{}})
+	c.observeAndStep()
+	token, ok := c.Authority()
 	require.True(t, ok)
 	require.Equal(t, int64(1), token)
-	term, ok := w.Leader()
-	require.False(t, ok, "the store has not shown it yet: %v", term)
+	term, ok := c.Leader()
+	require.False(t, ok, "Leader returned %v before the candidate observed it in the store", term)
 }
 
-// A leader is cut off from the store. Its lease may end at any moment from its time to
-// live after the last renewal was sent; by then it must have stopped, or two VMs would
-// give orders.
+// A leader is cut off from the store. Its lease may expire as soon as its time to live has
+// passed since the last renewal was sent. The leader must have stopped by then, or two VMs
+// would give orders.
 func TestAuthorityEndsBeforeTheLease(t *testing.T) {
-	w := newWorld("a", &fakeStore{items: map[string]store.Item{}})
-	w.elect()
-	w.store.away = true
-	w.pass(lease - margin - time.Millisecond)
-	_, ok := w.Authority()
+	c := newTestCandidate("a", &fakeStore{items: map[string]store.Item{}})
+	c.observeAndStep()
+	c.store.unavailable = true
+	c.advance(leaseTTL - authorityMargin - time.Millisecond)
+	_, ok := c.Authority()
 	require.True(t, ok)
-	w.pass(time.Millisecond)
-	_, ok = w.Authority()
+	c.advance(time.Millisecond)
+	_, ok = c.Authority()
 	require.False(t, ok)
-	w.step(context.Background())
-	require.False(t, w.Leads())
+	c.step(context.Background())
+	require.False(t, c.Leads())
 }
 
-// The store is away for longer than a lease, and leases pause meanwhile. Nobody else can
-// have been elected while the lease was there. A leader that gave up at its first failure
-// would stand for election again, or another VM would and wait for its last orders: models
-// stay where they are for five seconds more.
-func TestLeaderGoesOnWhenItsLeaseOutlivedAnOutage(t *testing.T) {
-	w := newWorld("a", &fakeStore{items: map[string]store.Item{}})
-	w.elect()
-	before, _ := w.Authority()
-	w.store.away = true
+// The store is unavailable for longer than a lease, and leases do not expire meanwhile. Nobody
+// else can have been elected while the lease existed. If the leader gave up at its first failed
+// renewal, it or another VM would have to win an election, and another VM would also wait for
+// the takeover delay: no model would move for another five seconds.
+func TestTermContinuesWhenLeaseOutlivesOutage(t *testing.T) {
+	c := newTestCandidate("a", &fakeStore{items: map[string]store.Item{}})
+	c.observeAndStep()
+	before, _ := c.Authority()
+	c.store.unavailable = true
 	for range 5 {
-		w.pass(time.Second)
-		w.step(context.Background())
-		_, ok := w.Authority()
-		require.False(t, ok && w.mono >= lease)
+		c.advance(time.Second)
+		c.step(context.Background())
+		_, ok := c.Authority()
+		require.False(t, ok && c.mono >= leaseTTL)
 	}
-	w.store.away = false
-	w.step(context.Background())
-	after, ok := w.Authority()
+	c.store.unavailable = false
+	c.step(context.Background())
+	after, ok := c.Authority()
 	require.True(t, ok)
 	require.Equal(t, before, after)
 }
 
-// The same outage, but the lease ended in it, and another VM has led since.
-func TestLeaderWhoseLeaseEndedInAnOutageIsNone(t *testing.T) {
+// The lease expires during an outage of the store, and another VM has led since.
+func TestTermEndsWhenLeaseExpiresInOutage(t *testing.T) {
 	s := &fakeStore{items: map[string]store.Item{}}
-	a := newWorld("a", s)
-	a.elect()
-	s.away = true
-	a.pass(5 * time.Second)
+	a := newTestCandidate("a", s)
+	a.observeAndStep()
+	s.unavailable = true
+	a.advance(5 * time.Second)
 	a.step(context.Background())
-	s.away = false
+	s.unavailable = false
 	delete(s.items, "x/leader")
-	newWorld("b", s).elect()
+	newTestCandidate("b", s).observeAndStep()
 	a.step(context.Background())
 	require.False(t, a.Leads())
 	_, ok := a.Authority()
 	require.False(t, ok)
 }
 
-// A leader's VM is suspended for seconds. Its monotonic clock stands still meanwhile, so
-// by that clock its lease is young when it wakes, while another VM leads already.
+// A leader's VM is suspended for seconds. Its monotonic clock stops meanwhile, so by that clock
+// its lease is still valid when it resumes, while another VM already leads.
 func TestSuspendedLeaderHasNoAuthority(t *testing.T) {
-	w := newWorld("a", &fakeStore{items: map[string]store.Item{}})
-	w.elect()
-	w.wall += 5 * time.Second
-	_, ok := w.Authority()
+	c := newTestCandidate("a", &fakeStore{items: map[string]store.Item{}})
+	c.observeAndStep()
+	c.wall += 5 * time.Second
+	_, ok := c.Authority()
 	require.False(t, ok)
 }
 
-// Another VM led before. Its last order may still be under way, so the successor waits
-// before its own first one.
+// Another VM led before. Its last order may still be in flight, so the successor waits before
+// it gives its first order.
 func TestSuccessorWaits(t *testing.T) {
 	s := &fakeStore{items: map[string]store.Item{}}
-	newWorld("a", s).elect()
+	newTestCandidate("a", s).observeAndStep()
 	delete(s.items, "x/leader")
-	b := newWorld("b", s)
-	b.elect()
+	b := newTestCandidate("b", s)
+	b.observeAndStep()
 	require.True(t, b.Leads())
 	for range 4 {
 		_, ok := b.Authority()
 		require.False(t, ok)
-		b.pass(700 * time.Millisecond)
+		b.advance(700 * time.Millisecond)
 		b.step(context.Background())
 	}
-	b.pass(300 * time.Millisecond)
+	b.advance(300 * time.Millisecond)
 	_, ok := b.Authority()
 	require.True(t, ok)
 }
 
-// Another VM led a moment ago. An election of this VM takes effect, its answer is lost, and
-// it is taken back. The store then names this VM as the last leader, and one that went by
-// that would give its first order right after the other VM's last one.
-func TestElectionWhoseAnswerWasLostDoesNotSpareTheWait(t *testing.T) {
+// Another VM led a moment ago. An election of this VM takes effect, but its reply is lost and
+// its lease is revoked. The store then names this VM as the last leader. A candidate that
+// relied on that name would give its first order right after the other VM's last one.
+func TestLostElectionReplyDoesNotSkipTakeoverDelay(t *testing.T) {
 	s := &fakeStore{items: map[string]store.Item{}}
-	newWorld("a", s).elect()
+	newTestCandidate("a", s).observeAndStep()
 	delete(s.items, "x/leader")
-	b := newWorld("b", s)
-	s.loseCommits = true
-	b.elect()
+	b := newTestCandidate("b", s)
+	s.loseCommitReplies = true
+	b.observeAndStep()
 	require.False(t, b.Leads())
-	s.loseCommits = false
+	s.loseCommitReplies = false
 	delete(s.items, "x/leader")
-	b.elect()
+	b.observeAndStep()
 	require.True(t, b.Leads())
 	_, ok := b.Authority()
 	require.False(t, ok)
 }
 
-// A VM that led before stands again with a view of the store that is a second old: another
-// VM has led since. It must not win by that view, or it would not wait.
-func TestElectionByAnOldViewFails(t *testing.T) {
+// A VM that led before campaigns again with a stale view of the store: another VM has led
+// since. It must not win with that view, or it would skip the takeover delay.
+func TestElectionFromStaleViewFails(t *testing.T) {
 	s := &fakeStore{items: map[string]store.Item{}}
-	a := newWorld("a", s)
-	a.elect()
+	a := newTestCandidate("a", s)
+	a.observeAndStep()
 	delete(s.items, "x/leader")
 	old := maps.Clone(s.items)
-	a.pass(lease)
+	a.advance(leaseTTL)
 	a.step(context.Background())
-	newWorld("b", s).elect()
+	newTestCandidate("b", s).observeAndStep()
 	delete(s.items, "x/leader")
 	a.Observe(old)
 	a.step(context.Background())
 	require.False(t, a.Leads())
-	a.elect()
+	a.observeAndStep()
 	require.True(t, a.Leads())
 	_, ok := a.Authority()
 	require.False(t, ok)
 }
 
-// The VM that led last leads again, and nobody else has stood since. It need not wait for
-// its own orders.
+// The VM that led last wins again, and nobody else has led since. It need not wait for its own
+// orders.
 func TestSameLeaderActsAtOnceAgain(t *testing.T) {
 	s := &fakeStore{items: map[string]store.Item{}}
-	a := newWorld("a", s)
-	a.elect()
+	a := newTestCandidate("a", s)
+	a.observeAndStep()
 	delete(s.items, "x/leader")
-	a.pass(lease)
-	s.away = true
+	a.advance(leaseTTL)
+	s.unavailable = true
 	a.step(context.Background())
-	s.away = false
+	s.unavailable = false
 	a.step(context.Background())
-	require.False(t, a.Leads(), "its lease has ended")
-	a.elect()
+	require.False(t, a.Leads(), "its lease has expired")
+	a.observeAndStep()
 	_, ok := a.Authority()
 	require.True(t, ok)
 }
 
 func TestOneOfTwoCandidatesWins(t *testing.T) {
 	s := &fakeStore{items: map[string]store.Item{}}
-	a, b := newWorld("a", s), newWorld("b", s)
+	a, b := newTestCandidate("a", s), newTestCandidate("b", s)
 	b.Observe(s.items)
-	a.elect()
+	a.observeAndStep()
 	b.step(context.Background())
 	require.True(t, a.Leads())
 	require.False(t, b.Leads())
@@ -259,22 +259,22 @@
 	term, ok := b.Leader()
 	require.True(t, ok)
 	require.Equal(t, "a", term.VM)
-	var r record
+	var r electionRecord
 	require.NoError(t, json.Unmarshal(s.items["x/last-leader"].Value, &r))
 	require.Equal(t, "a", r.VM)
 }
 
-// Hundreds of VMs wait until they lead instead of looking all the time. One that was not woken
-// by its election would lead and give no orders for as long as its lease lasts.
-func TestElectionWakesWhoWaitsForIt(t *testing.T) {
-	w := newWorld("a", &fakeStore{items: map[string]store.Item{}})
-	require.False(t, w.Holds())
-	require.Empty(t, w.Elected())
-	w.elect()
-	require.True(t, w.Holds())
-	require.Len(t, w.Elected(), 1)
-	w.store.away = true
-	w.pass(lease)
-	w.step(context.Background())
-	require.True(t, w.Holds(), "authority may come back")
+// In a fleet of hundreds, VMs wait for the signal of their election instead of polling. A VM
+// that got no signal would hold the lease and give no orders for as long as it lasts.
+func TestElectionIsSignalled(t *testing.T) {
+	c := newTestCandidate("a", &fakeStore{items: map[string]store.Item{}})
+	require.False(t, c.HasTerm())
+	require.Empty(t, c.Elected())
+	c.observeAndStep()
+	require.True(t, c.HasTerm())
+	require.Len(t, c.Elected(), 1)
+	c.store.unavailable = true
+	c.advance(leaseTTL)
+	c.step(context.Background())
+	require.True(t, c.HasTerm(), "the term is kept, since authority may return")
 }
--- a/internal/vm/planner.go
+++ b/internal/vm/planner.go
@@ -108,7 +108,7 @@
 func (l *planner) run(ctx context.Context) error {
 	pause := planEvery
 	for {
-		if !l.p.candidate.Holds() {
+		if !l.p.candidate.HasTerm() {
 			l.forget()
 			l.awaitElection(ctx)
 		}
@@ -215,7 +215,7 @@
 	defer l.mu.Unlock()
 	if l.token == token {
 		l.books[i.ID] = b
-		l.found(b, l.p.candidate.Succeeds(), time.Now())
+		l.found(b, l.p.candidate.HasPredecessor(), time.Now())
 	}
 }
 
