--- a/internal/vm/adapters.go
+++ b/internal/vm/adapters.go
@@ -20,32 +20,34 @@
 	err      error
 }
 
-// ensure brings an adapter to an engine and returns the engine's ID.
+// ensure makes sure that an engine holds an adapter and returns the engine's ID. Concurrent calls
+// for the same adapter share one load.
 func (l *planner) ensure(ctx context.Context, service, model, adapter string) (string, error) {
 	item := residency.Item(model, adapter)
 	l.mu.Lock()
-	if w := l.pending[item]; w != nil {
+	if pending := l.pendingAdapters[item]; pending != nil {
 		l.mu.Unlock()
 		select {
-		case <-w.done:
-			return w.instance, w.err
+		case <-pending.done:
+			return pending.instance, pending.err
 		case <-ctx.Done():
 			return "", errors.Wrap(ErrOrder, ctx.Err().Error())
 		}
 	}
-	w := &pendingAdapter{done: make(chan struct{})}
-	l.pending[item] = w
+	pending := &pendingAdapter{done: make(chan struct{})}
+	l.pendingAdapters[item] = pending
 	l.mu.Unlock()
-	// The order goes on if the first to ask leaves: others wait for it.
-	w.instance, w.err = l.bring(context.WithoutCancel(ctx), service, model, adapter)
-	close(w.done)
+	// The load continues if the first caller cancels: others may wait for it.
+	pending.instance, pending.err = l.placeAdapter(context.WithoutCancel(ctx), service, model, adapter)
+	close(pending.done)
 	l.mu.Lock()
-	delete(l.pending, item)
+	delete(l.pendingAdapters, item)
 	l.mu.Unlock()
-	return w.instance, w.err
+	return pending.instance, pending.err
 }
 
-func (l *planner) bring(ctx context.Context, service, model, adapter string) (string, error) {
+// placeAdapter returns an engine that holds an adapter, after loading it if need be.
+func (l *planner) placeAdapter(ctx context.Context, service, model, adapter string) (string, error) {
 	k := l.p.core.Catalog()
 	if _, ok := l.p.candidate.Authority(); !ok || k == nil || k.Services[service] == nil || k.Services[service].Engine == nil {
 		return "", errors.WithStack(ErrNotLeader)
@@ -54,7 +56,7 @@
 	item := residency.Item(model, adapter)
 	engines := l.engines(service)
 	l.mu.Lock()
-	l.used[item] = time.Now()
+	l.lastUsed[item] = time.Now()
 	for _, e := range engines {
 		if e.Usable && e.Models[model] {
 			if _, ok := e.Adapters[item]; ok {
@@ -68,51 +70,53 @@
 	if !ok {
 		return "", errors.WithStack(ErrNoPlace)
 	}
-	b := l.book(move.Engine)
-	if b == nil {
+	state := l.state(move.Engine)
+	if state == nil {
 		return "", errors.WithStack(ErrNoPlace)
 	}
-	if err := l.swapAdapter(ctx, b, move.Evict, model, adapter, spec); err != nil {
+	if err := l.swapAdapter(ctx, state, move.Evict, model, adapter, spec); err != nil {
 		return "", err
 	}
-	sleep(ctx, adapterTime)
+	sleep(ctx, adapterLoadTime)
 	l.p.assigner.AddAdapter(move.Engine, model, adapter)
 	return move.Engine, nil
 }
 
-// swapAdapter unloads one adapter if need be and loads another.
-func (l *planner) swapAdapter(ctx context.Context, b *book, evict, model, adapter string, spec *catalog.EngineSpec) error {
-	b.orders.Lock()
-	defer b.orders.Unlock()
+// swapAdapter unloads the adapter evict, if any, and loads another. It returns ErrNoPlace if the
+// engine has no free slot or no longer holds the model.
+func (l *planner) swapAdapter(ctx context.Context, state *engineState, evict, model, adapter string, spec *catalog.EngineSpec) error {
+	state.orderMu.Lock()
+	defer state.orderMu.Unlock()
 	if evict != "" {
 		oldModel, oldAdapter, _ := strings.Cut(evict, "/")
-		if err := l.order(ctx, b, platform.Unload, oldModel, oldAdapter); err != nil {
-			return l.busyUnknown(b, err)
+		if err := l.sendOrder(ctx, state, platform.Unload, oldModel, oldAdapter); err != nil {
+			return l.invalidateIfBusy(state, err)
 		}
-		l.p.assigner.RemoveItem(b.instance.ID, oldModel, oldAdapter)
+		l.p.assigner.RemoveItem(state.instance.ID, oldModel, oldAdapter)
 	}
 	l.mu.Lock()
-	full := len(b.adapters) >= spec.AdapterSlots
-	gone := !b.models[model]
+	full := len(state.adapters) >= spec.AdapterSlots
+	gone := !state.models[model]
 	l.mu.Unlock()
 	if full || gone {
 		return errors.WithStack(ErrNoPlace)
 	}
-	return l.busyUnknown(b, l.order(ctx, b, platform.Load, model, adapter))
+	return l.invalidateIfBusy(state, l.sendOrder(ctx, state, platform.Load, model, adapter))
 }
 
-// busyUnknown closes the book of an engine that carries out an order which the book does not
-// know, such as a late one of an earlier leader. With the book open, every request for
+// invalidateIfBusy invalidates the state of an engine that carries out an order which the state
+// does not count, such as a late one of an earlier leader. With a valid state, every request for
 // another adapter would send the engine one more order that it refuses.
-func (l *planner) busyUnknown(b *book, err error) error {
+func (l *planner) invalidateIfBusy(state *engineState, err error) error {
 	if errors.Is(err, errBusy) {
-		l.closeBook(b)
+		l.invalidate(state)
 	}
 	return err
 }
 
-// ensureAdapter brings an adapter to an engine, through the leader if that is
-// another VM.
+// ensureAdapter makes sure that an engine holds an adapter, through the leader if that is another
+// VM, and returns the engine's ID. It returns ErrNotLeader if this VM does not lead and knows no
+// other leader or not its address.
 func (p *Process) ensureAdapter(ctx context.Context, service, model, adapter string) (string, error) {
 	if _, ok := p.candidate.Authority(); ok {
 		return p.planner.ensure(ctx, service, model, adapter)
@@ -125,13 +129,13 @@
 	if !ok {
 		return "", errors.WithStack(ErrNotLeader)
 	}
-	var answer *peerpb.EnsureAdapterResponse
+	var response *peerpb.EnsureAdapterResponse
 	err := p.pool.Call(ctx, address, exchangeTimeout, func(ctx context.Context, conn grpc.ClientConnInterface) (err error) {
-		answer, err = peerpb.NewVMsClient(conn).EnsureAdapter(ctx, &peerpb.EnsureAdapterRequest{Service: service, Model: model, Adapter: adapter})
+		response, err = peerpb.NewVMsClient(conn).EnsureAdapter(ctx, &peerpb.EnsureAdapterRequest{Service: service, Model: model, Adapter: adapter})
 		return err
 	})
 	if err != nil {
 		return "", err
 	}
-	return answer.Instance, nil
+	return response.Instance, nil
 }
--- a/internal/vm/contents.go
+++ b/internal/vm/contents.go
@@ -9,31 +9,31 @@
 	"github.com/chestnutarch/chestnutarch/internal/peer/peerpb"
 )
 
-// contentsTable holds what the leader knows of the engines, and passes it on: the leader
-// reports to a few VMs only, and the others have to know as soon where a model or an
-// adapter can be used.
+// contentsTable holds the leader's knowledge of the engines' contents and relays it in reports:
+// the leader reports to only a few VMs, and the others need to know just as soon where a model
+// or an adapter can be used.
 type contentsTable struct {
 	mu sync.Mutex
-	// token is of the leader that it stems from.
+	// token is the fencing token of the leader whose table this is.
 	token   int64
 	engines map[string]*peerpb.EngineContents
-	// changes counts the changes of engines.
-	changes uint64
-	told    map[string]toldContents
+	// version counts the changes of engines.
+	version uint64
+	sent    map[string]sentContents
 }
 
-// toldContents is what a VM was told last, by instance, and the number of the last change if
-// that was everything.
-type toldContents struct {
+// sentContents is what was last sent to a VM, by instance, and the table's version if that was
+// the whole table.
+type sentContents struct {
 	engines map[string]*peerpb.EngineContents
-	changes uint64
+	version uint64
 }
 
 func newContentsTable() contentsTable {
-	return contentsTable{engines: make(map[string]*peerpb.EngineContents), told: make(map[string]toldContents)}
+	return contentsTable{engines: make(map[string]*peerpb.EngineContents), sent: make(map[string]sentContents)}
 }
 
-// set replaces the table, on the leader. Engines that have not changed keep their value.
+// set replaces the table, on the leader. Unchanged engines keep their value.
 func (c *contentsTable) set(token int64, engines []*peerpb.EngineContents) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,7 +47,7 @@
 		}
 	}
 	if token != c.token || !maps.Equal(next, c.engines) {
-		c.changes++
+		c.version++
 	}
 	c.token, c.engines = token, next
 }
@@ -57,9 +57,9 @@
 		slices.Equal(a.Leaving, b.Leaving)
 }
 
-// hear takes what another VM passes on, and returns what is new. What stems from an
-// earlier leader is not believed.
-func (c *contentsTable) hear(token int64, engines []*peerpb.EngineContents) []*peerpb.EngineContents {
+// merge merges the contents that another VM relays, and returns those that have changed. Contents
+// from an earlier leader are ignored.
+func (c *contentsTable) merge(token int64, engines []*peerpb.EngineContents) []*peerpb.EngineContents {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if token == 0 || token < c.token {
@@ -67,29 +67,30 @@
 	}
 	if token > c.token {
 		c.token, c.engines = token, make(map[string]*peerpb.EngineContents)
-		c.changes++
+		c.version++
 	}
-	var fresh []*peerpb.EngineContents
+	var changed []*peerpb.EngineContents
 	for _, e := range engines {
 		old := c.engines[e.Instance]
 		if old != nil && (old.OrdersAccepted > e.OrdersAccepted || sameContents(old, e)) {
 			continue
 		}
 		c.engines[e.Instance] = e
-		fresh = append(fresh, e)
+		changed = append(changed, e)
 	}
-	if len(fresh) > 0 {
-		c.changes++
+	if len(changed) > 0 {
+		c.version++
 	}
-	return fresh
+	return changed
 }
 
-// maxContents bounds the engines that one report tells the contents of. After a change of
-// leaders all of them are new to everybody; a report with twelve thousand would take longer
-// over a narrow link than an exchange may, and the next one would be as large.
-const maxContents = 1000
+// maxReportedEngines is the largest number of engines whose contents one report holds. After a
+// change of leader all contents are new to every VM. A report of twelve thousand engines would
+// exceed the time of an exchange over a narrow link, and the next one would be as large.
+const maxReportedEngines = 1000
 
-// describe adds what the receiver was not told yet to a report, up to maxContents.
+// describe adds the contents that the receiver was not sent yet to a report, up to
+// maxReportedEngines.
 func (c *contentsTable) describe(out *peerpb.VMReport, receiver string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,45 +98,46 @@
 		return
 	}
 	out.LeaderToken = c.token
-	told := c.told[receiver]
-	if told.changes == c.changes {
+	sent := c.sent[receiver]
+	if sent.version == c.version {
 		return
 	}
-	now := toldContents{engines: make(map[string]*peerpb.EngineContents, len(c.engines))}
+	next := sentContents{engines: make(map[string]*peerpb.EngineContents, len(c.engines))}
 	for id, e := range c.engines {
-		if told.engines[id] != e {
-			if len(out.Contents) == maxContents {
+		if sent.engines[id] != e {
+			if len(out.Contents) == maxReportedEngines {
 				continue
 			}
 			out.Contents = append(out.Contents, e)
 		}
-		now.engines[id] = e
+		next.engines[id] = e
 	}
-	if len(now.engines) == len(c.engines) {
-		now.changes = c.changes
+	if len(next.engines) == len(c.engines) {
+		next.version = c.version
 	}
-	c.told[receiver] = now
+	c.sent[receiver] = next
 }
 
-// forget makes the next report to a VM whole: it may not have got the last one.
+// forget makes the next reports to a VM start from the whole table: the VM may not have received
+// the last one.
 func (c *contentsTable) forget(vm string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.told, vm)
+	delete(c.sent, vm)
 }
 
-// publish gives what the books say to this VM's own choice of engines and to the others.
-func (l *planner) publish() {
+// publishContents makes the engine states available to this VM's own assigner and to other VMs.
+func (l *planner) publishContents() {
 	l.mu.Lock()
 	token := l.token
-	engines := make([]*peerpb.EngineContents, 0, len(l.books))
-	for id, b := range l.books {
+	engines := make([]*peerpb.EngineContents, 0, len(l.states))
+	for id, state := range l.states {
 		e := &peerpb.EngineContents{
-			Instance: id, OrdersAccepted: b.accepted,
-			Adapters: slices.Collect(maps.Keys(b.adapters)), Models: slices.Collect(maps.Keys(b.models)),
+			Instance: id, OrdersAccepted: state.ordersAccepted,
+			Adapters: slices.Collect(maps.Keys(state.adapters)), Models: slices.Collect(maps.Keys(state.models)),
 		}
-		if b.leaving != "" {
-			e.Leaving = []string{b.leaving}
+		if state.unloading != "" {
+			e.Leaving = []string{state.unloading}
 		}
 		engines = append(engines, e)
 	}
@@ -144,20 +146,21 @@
 		return
 	}
 	l.contents.set(token, engines)
-	l.believe(engines)
+	l.updateAssigner(engines)
 }
 
-// hearContents takes what another VM passes on of the engines.
+// hearContents applies the engine contents of another VM's report, unless this VM leads.
 func (l *planner) hearContents(r *peerpb.VMReport) {
 	l.mu.Lock()
 	leading := l.token != 0
 	l.mu.Unlock()
 	if !leading {
-		l.believe(l.contents.hear(r.LeaderToken, r.Contents))
+		l.updateAssigner(l.contents.merge(r.LeaderToken, r.Contents))
 	}
 }
 
-func (l *planner) believe(engines []*peerpb.EngineContents) {
+// updateAssigner passes the contents of engines to this VM's assigner.
+func (l *planner) updateAssigner(engines []*peerpb.EngineContents) {
 	for _, e := range engines {
 		l.p.assigner.SetContents(e.Instance, assign.Contents{
 			Orders: e.OrdersAccepted, Items: slices.Concat(e.Models, e.Adapters), Leaving: e.Leaving,
--- a/internal/vm/contents_test.go
+++ b/internal/vm/contents_test.go
@@ -9,9 +9,10 @@
 	"github.com/chestnutarch/chestnutarch/internal/peer/peerpb"
 )
 
-// The leader of a fleet with twelve thousand engines changes, and all that they hold is new to
-// every VM. As one report it would not arrive in the time of an exchange over a narrow link,
-// and a failed exchange tells everything again: VMs would never learn where models are.
+// The leader of a fleet with twelve thousand engines changes, and the contents of all engines are
+// new to every VM. A single report of them would not arrive within the time of an exchange over a
+// narrow link, and after a failed exchange everything is sent again: VMs would never learn which
+// engines hold which models.
 func TestContentsOfManyEnginesAreToldInParts(t *testing.T) {
 	const engines = 12_000
 	leader, follower := newContentsTable(), newContentsTable()
@@ -20,19 +21,19 @@
 		all = append(all, &peerpb.EngineContents{Instance: fmt.Sprint("engine-", i), Models: []string{"m"}})
 	}
 	leader.set(7, all)
-	tell := func() {
+	sendReport := func() {
 		out := &peerpb.VMReport{}
 		leader.describe(out, "vm-2")
-		require.LessOrEqual(t, len(out.Contents), maxContents)
-		follower.hear(out.LeaderToken, out.Contents)
+		require.LessOrEqual(t, len(out.Contents), maxReportedEngines)
+		follower.merge(out.LeaderToken, out.Contents)
 	}
-	tell()
+	sendReport()
 	leader.forget("vm-2")
-	for range engines / maxContents {
-		tell()
+	for range engines / maxReportedEngines {
+		sendReport()
 	}
 	require.Len(t, follower.engines, engines)
 	out := &peerpb.VMReport{}
 	leader.describe(out, "vm-2")
-	require.Empty(t, out.Contents, "nothing is new")
+	require.Empty(t, out.Contents, "everything was sent already")
 }
--- a/internal/vm/instances.go
+++ b/internal/vm/instances.go
@@ -8,39 +8,39 @@
 	"github.com/chestnutarch/chestnutarch/platform"
 )
 
-// instanceEntries keeps what the entries of instances say, by key. A large fleet's view has
-// hundreds of entries and changes several times a second, mostly in one of them. Its values
-// are not changed once they are read.
+// instanceEntries caches the parsed instance entries of the store, by key. The view of a large
+// fleet has hundreds of entries and changes several times a second, mostly in one of them. Parsed
+// instances are not modified.
 type instanceEntries struct {
-	read  func(store.Item) (*upstream.Instance, error)
-	known map[string]instanceEntry
+	parse func(store.Item) (*upstream.Instance, error)
+	byKey map[string]instanceEntry
 }
 
-// instanceEntry is one revision of an entry; instance is nil if it cannot be read.
+// instanceEntry is one revision of an entry; instance is nil if the entry cannot be parsed.
 type instanceEntry struct {
 	revision    int64
 	instance    *upstream.Instance
 	incarnation string
 }
 
-func newInstanceEntries(read func(store.Item) (*upstream.Instance, error)) *instanceEntries {
-	return &instanceEntries{read: read, known: make(map[string]instanceEntry)}
+func newInstanceEntries(parse func(store.Item) (*upstream.Instance, error)) *instanceEntries {
+	return &instanceEntries{parse: parse, byKey: make(map[string]instanceEntry)}
 }
 
-// take reads the entries that have changed and forgets those that are gone. The errors are of
-// entries that cannot be read.
-func (e *instanceEntries) take(items map[string]store.Item) (unreadable []error) {
-	next := make(map[string]instanceEntry, len(e.known))
+// update parses the entries that have changed and drops those that are gone. It returns an error
+// for each changed entry that cannot be parsed.
+func (e *instanceEntries) update(items map[string]store.Item) (unreadable []error) {
+	next := make(map[string]instanceEntry, len(e.byKey))
 	for key, item := range items {
 		if _, ok := platform.InstanceID(key); !ok {
 			continue
 		}
-		if known, ok := e.known[key]; ok && known.revision == item.Revision {
+		if known, ok := e.byKey[key]; ok && known.revision == item.Revision {
 			next[key] = known
 			continue
 		}
 		entry := instanceEntry{revision: item.Revision}
-		i, err := e.read(item)
+		i, err := e.parse(item)
 		if err == nil {
 			entry.instance, entry.incarnation = i, incarnationOf(i)
 		} else {
@@ -48,27 +48,27 @@
 		}
 		next[key] = entry
 	}
-	e.known = next
+	e.byKey = next
 	return unreadable
 }
 
-// setInstances translates the entries of instances. It is called by one view after the other.
+// setInstances updates the instances from a view of the store. Calls must not be concurrent.
 func (p *Process) setInstances(v view) {
 	now := time.Now()
-	away := p.tracker.awayWithin(now, revivalTime)
-	for _, err := range p.entries.take(v.items) {
+	storeFailed := p.tracker.awayWithin(now, revivalTime)
+	for _, err := range p.entries.update(v.items) {
 		p.log.Debug().Str("event", "instance_unreadable").AnErr("cause", err).Send()
 	}
-	next := make(map[string]*upstream.Instance, len(p.entries.known))
-	for _, entry := range p.entries.known {
+	next := make(map[string]*upstream.Instance, len(p.entries.byKey))
+	for _, entry := range p.entries.byKey {
 		i := entry.instance
 		if i == nil {
 			continue
 		}
 		if i.Draining {
 			p.gone.left(entry.incarnation, true, now)
-		} else if p.gone.barred(entry.incarnation, entry.revision, away) {
-			i = draining(i)
+		} else if p.gone.barred(entry.incarnation, entry.revision, storeFailed) {
+			i = asDraining(i)
 		}
 		next[i.ID] = i
 	}
@@ -79,17 +79,17 @@
 			p.log.Info().Str("event", "instance_gone").Str("instance", id).Str("address", old.Address).Send()
 		}
 	}
-	p.putInForce(next)
+	p.applyInstances(next)
 }
 
-// revivalTime is how long after the store was away an entry that comes back is
-// believed at once.
+// revivalTime is how long after a failed call of the store an entry that returns counts as
+// available at once.
 const revivalTime = 5 * time.Second
 
-// putInForce makes a table of instances the one that requests are routed by. Of a VM's first
-// table the log tells the size and who is leaving: hundreds of VMs that start together would
-// write a line for each upstream before they serve anybody.
-func (p *Process) putInForce(next map[string]*upstream.Instance) {
+// applyInstances makes a table of instances the one that requests are routed by. Of a VM's first
+// table it logs only the size and the draining instances: hundreds of VMs that start together
+// would otherwise log a line for each upstream before they serve a request.
+func (p *Process) applyInstances(next map[string]*upstream.Instance) {
 	previous := *p.instances.Load()
 	list := make([]upstream.Instance, 0, len(next))
 	if len(previous) == 0 && len(next) > 0 {
@@ -108,14 +108,15 @@
 	p.assigner.SetInstances(list)
 }
 
-// draining returns an instance that takes no new work.
-func draining(i *upstream.Instance) *upstream.Instance {
+// asDraining returns a copy of an instance that is marked as draining.
+func asDraining(i *upstream.Instance) *upstream.Instance {
 	copied := *i
 	copied.Draining = true
 	return &copied
 }
 
-// peerDepartures takes what a VM with a newer view of the store has seen leaving.
+// peerDepartures marks the instances as draining whose incarnations a VM with a newer view of the
+// store has seen draining or gone.
 func (p *Process) peerDepartures(names []string) {
 	if len(names) == 0 {
 		return
@@ -129,11 +130,11 @@
 	for id, i := range *p.instances.Load() {
 		if !i.Draining && left[incarnationOf(i)] {
 			p.gone.left(incarnationOf(i), false, time.Now())
-			i, changed = draining(i), true
+			i, changed = asDraining(i), true
 		}
 		next[id] = i
 	}
 	if changed {
-		p.putInForce(next)
+		p.applyInstances(next)
 	}
 }
--- a/internal/vm/instances_test.go
+++ b/internal/vm/instances_test.go
@@ -10,9 +10,9 @@
 	"github.com/chestnutarch/chestnutarch/platform"
 )
 
-// A view of hundreds of upstreams changes several times a second, mostly in one entry. A VM
-// that read all of them anew each time spent most of its processor on it.
-func TestOneChangedEntryIsReadAlone(t *testing.T) {
+// A view of hundreds of upstreams changes several times a second, mostly in one entry. A VM that
+// parsed all entries each time spent most of its processor time on it.
+func TestOnlyChangedEntryIsParsed(t *testing.T) {
 	reads := 0
 	e := newInstanceEntries(func(item store.Item) (*upstream.Instance, error) {
 		reads++
@@ -26,19 +26,19 @@
 		}
 	}
 	items["other"] = store.Item{Key: "other", Revision: 1}
-	require.Empty(t, e.take(items))
+	require.Empty(t, e.update(items))
 	require.Equal(t, 3, reads)
 
 	e2 := items[platform.InstancePrefix+"e2"]
 	e2.Revision, e2.Value = 2, []byte(`{`)
 	items[e2.Key] = e2
-	require.Len(t, e.take(items), 1)
-	require.Empty(t, e.take(items), "an entry that cannot be read is told of once")
+	require.Len(t, e.update(items), 1)
+	require.Empty(t, e.update(items), "an entry that cannot be parsed must be returned only once per revision")
 	require.Equal(t, 4, reads)
-	require.Nil(t, e.known[e2.Key].instance)
+	require.Nil(t, e.byKey[e2.Key].instance)
 
 	delete(items, e2.Key)
-	require.Empty(t, e.take(items))
-	require.Len(t, e.known, 2)
+	require.Empty(t, e.update(items))
+	require.Len(t, e.byKey, 2)
 	require.Equal(t, 4, reads)
 }
--- a/internal/vm/move.go
+++ b/internal/vm/move.go
@@ -13,199 +13,199 @@
 )
 
 const (
-	// confirmAfter is how long after the expected end of a load the engine is asked:
-	// its reports are some hundred milliseconds old.
-	confirmAfter = 250 * time.Millisecond
-	// moveTimeout is how long a move may take beyond three times its expected time
-	// before the engine is read anew.
-	moveTimeout = 2 * time.Second
-	// maxUnread is how many questions may go without an answer before an engine is
-	// taken to be gone.
-	maxUnread = 3
-	// unloadCheck is when the load is tried first after an unload was accepted: a model
-	// that no request uses is gone within a few steps of the engine.
-	unloadCheck = 100 * time.Millisecond
-	// restFirst and restMost bound the pauses between two looks at an engine whose unload
-	// waits. A look costs about as much as an order, and a stream goes on for seconds.
-	restFirst = 150 * time.Millisecond
-	restMost  = 600 * time.Millisecond
-	// unloadPatience is how long a model counts as coming to an engine that still waits
-	// for requests of another one. Streams last up to fifteen seconds, and callers who
-	// ask for a model that is nowhere else are refused all the while.
-	unloadPatience = time.Second
-	// unloadLimit is the longest wait for an unload: a little more than the longest
-	// timeout of a route.
-	unloadLimit = 20 * time.Second
+	// confirmDelay is how long after the expected end of a load the engine is read: its
+	// reports are some hundred milliseconds old.
+	confirmDelay = 250 * time.Millisecond
+	// loadGrace is how long a load may take beyond three times its expected time before the
+	// engine's state is invalidated and read again.
+	loadGrace = 2 * time.Second
+	// maxFailedReads is how many reads in a move may fail before the engine counts as gone.
+	maxFailedReads = 3
+	// unloadCheckDelay is the time from an accepted unload to the first attempt to load: a
+	// model without requests is unloaded within a few steps of the engine.
+	unloadCheckDelay = 100 * time.Millisecond
+	// minIdleCheckPause and maxIdleCheckPause bound the pauses between two reads of an engine
+	// whose unload waits. A read costs about as much as an order, and a stream lasts for
+	// seconds.
+	minIdleCheckPause = 150 * time.Millisecond
+	maxIdleCheckPause = 600 * time.Millisecond
+	// delayedLoadAfter is how long a model counts as loading on an engine that still waits for
+	// requests of the evicted model. Streams last up to fifteen seconds, and if no other
+	// engine holds the new model, its callers are refused meanwhile.
+	delayedLoadAfter = time.Second
+	// maxUnloadWait is the longest wait for an unload: a little more than the longest timeout
+	// of a route.
+	maxUnloadWait = 20 * time.Second
 )
 
-// move unloads one model if need be, loads the other and waits until the engine has
-// it.
-func (l *planner) move(ctx context.Context, b *book, move residency.ModelMove, spec *catalog.EngineSpec) error {
-	b.orders.Lock()
-	defer b.orders.Unlock()
+// executeMove unloads a model if the move names one, loads the other and waits until the engine
+// holds it.
+func (l *planner) executeMove(ctx context.Context, state *engineState, move residency.ModelMove, spec *catalog.EngineSpec) error {
+	state.orderMu.Lock()
+	defer state.orderMu.Unlock()
 	if move.Evict != "" {
-		if err := l.evict(ctx, b, move.Evict); err != nil {
+		if err := l.evict(ctx, state, move.Evict); err != nil {
 			return err
 		}
 	}
-	expected := l.loadTime(b, move, spec)
-	wanted, err := l.loadWhenFree(ctx, b, move)
+	expected := l.loadTime(state, move, spec)
+	wanted, err := l.loadWhenIdle(ctx, state, move)
 	if err != nil || !wanted {
 		return err
 	}
-	return l.awaitLoad(ctx, b, move.Load, expected)
+	return l.awaitLoad(ctx, state, move.Load, expected)
 }
 
-// evict orders a model to be unloaded. The unload may take a while.
-func (l *planner) evict(ctx context.Context, b *book, model string) error {
-	l.drop(b, model)
-	l.publish()
-	if err := l.order(ctx, b, platform.Unload, model, ""); err != nil {
-		l.closeBook(b)
+// evict orders an engine to unload a model. The unload may still be in progress when evict
+// returns.
+func (l *planner) evict(ctx context.Context, state *engineState, model string) error {
+	l.markUnloading(state, model)
+	l.publishContents()
+	if err := l.sendOrder(ctx, state, platform.Unload, model, ""); err != nil {
+		l.invalidate(state)
 		return err
 	}
-	l.publish()
-	sleep(ctx, unloadCheck)
+	l.publishContents()
+	sleep(ctx, unloadCheckDelay)
 	return nil
 }
 
-// loadWhenFree orders the load once the engine takes orders again. It returns false if
-// that took so long that the plan behind it is out of date: the engine is free then, and
-// the next plan says what for.
-func (l *planner) loadWhenFree(ctx context.Context, b *book, move residency.ModelMove) (wanted bool, err error) {
+// loadWhenIdle orders the load once the engine accepts orders again. It returns false if that
+// took so long that the plan is out of date: the engine is then available to the next plan.
+func (l *planner) loadWhenIdle(ctx context.Context, state *engineState, move residency.ModelMove) (wanted bool, err error) {
 	began := time.Now()
 	for {
-		err = l.order(ctx, b, platform.Load, move.Load, "")
+		err = l.sendOrder(ctx, state, platform.Load, move.Load, "")
 		if err == nil {
 			return true, nil
 		}
-		if !errors.Is(err, errBusy) || time.Since(began) > unloadLimit || ctx.Err() != nil {
-			l.closeBook(b)
+		if !errors.Is(err, errBusy) || time.Since(began) > maxUnloadWait || ctx.Err() != nil {
+			l.invalidate(state)
 			return false, err
 		}
-		if err = l.awaitRest(ctx, b, move, began); err != nil {
-			l.closeBook(b)
+		if err = l.awaitIdle(ctx, state, move, began); err != nil {
+			l.invalidate(state)
 			return false, err
 		}
-		if l.waitedTooLong(b) {
-			l.left(b)
+		if l.loadDelayed(state) {
+			l.clearUnloading(state)
 			return false, nil
 		}
 	}
 }
 
-// awaitRest waits until the engine has carried out what it was ordered. After
-// unloadPatience the model no longer counts as coming here, so that it is brought to
-// another engine.
-func (l *planner) awaitRest(ctx context.Context, b *book, move residency.ModelMove, began time.Time) error {
-	unread := 0
-	for pause := restFirst; ; pause = min(2*pause, restMost) {
+// awaitIdle waits until the engine has carried out its orders. After delayedLoadAfter the model
+// no longer counts as loading here, so that the next plan can load it on another engine.
+func (l *planner) awaitIdle(ctx context.Context, state *engineState, move residency.ModelMove, began time.Time) error {
+	failedReads := 0
+	for pause := minIdleCheckPause; ; pause = min(2*pause, maxIdleCheckPause) {
 		sleep(ctx, pause)
-		rested, err := l.rested(ctx, b)
+		idle, err := l.isIdle(ctx, state)
 		switch {
-		case rested:
+		case idle:
 			return nil
-		case ctx.Err() != nil || time.Since(began) > unloadLimit || l.book(b.instance.ID) != b:
-			return errors.Wrapf(ErrOrder, "%s: it still carries out an earlier order", b.instance.ID)
+		case ctx.Err() != nil || time.Since(began) > maxUnloadWait || l.state(state.instance.ID) != state:
+			return errors.Wrapf(ErrOrder, "engine %s: stopped waiting for an earlier order to end", state.instance.ID)
 		case err != nil:
-			if unread++; unread >= maxUnread {
+			if failedReads++; failedReads >= maxFailedReads {
 				return err
 			}
 		default:
-			unread = 0
+			failedReads = 0
 		}
-		if time.Since(began) > unloadPatience {
-			l.noLongerComing(b, move)
+		if time.Since(began) > delayedLoadAfter {
+			l.markLoadDelayed(state, move)
 		}
 	}
 }
 
-// rested reports whether an engine has carried out every order that the book knows of.
-func (l *planner) rested(ctx context.Context, b *book) (bool, error) {
-	report, err := l.p.replicas.Report(ctx, b.instance)
+// isIdle reports whether an engine has carried out every order that its state counts.
+func (l *planner) isIdle(ctx context.Context, state *engineState) (bool, error) {
+	report, err := l.p.replicas.Report(ctx, state.instance)
 	if err != nil {
 		return false, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if report.Born != b.born || report.OrdersAccepted > b.accepted {
-		return false, errors.Wrapf(ErrOrder, "%s: it has taken other orders", b.instance.ID)
+	if report.Born != state.born || report.OrdersAccepted > state.ordersAccepted {
+		return false, errors.Wrapf(ErrOrder, "engine %s restarted or accepted orders that this leader does not know", state.instance.ID)
 	}
-	return report.OrdersAccepted == b.accepted && !report.Busy, nil
+	return report.OrdersAccepted == state.ordersAccepted && !report.Busy, nil
 }
 
-// noLongerComing takes back that a model is on its way to an engine, with its share of what
-// the weight store allows: the plan would else have nothing left to bring it elsewhere.
-func (l *planner) noLongerComing(b *book, move residency.ModelMove) {
+// markLoadDelayed records that a model no longer counts as loading on an engine, and returns its
+// token to the load bucket. Without the token the plan might not be able to load the model on
+// another engine.
+func (l *planner) markLoadDelayed(state *engineState, move residency.ModelMove) {
 	l.mu.Lock()
-	waits := b.coming != ""
-	b.coming, b.waiting = "", move.Load
-	if b.fromStore {
-		b.fromStore = false
-		l.loads.tokens = min(loadBurst, l.loads.tokens+1)
+	wasLoading := state.loading != ""
+	state.loading, state.delayedLoad = "", move.Load
+	if state.fromStore {
+		state.fromStore = false
+		l.loadBucket.tokens = min(storeLoadBurst, l.loadBucket.tokens+1)
 	}
 	l.mu.Unlock()
-	if waits {
-		l.p.log.Warn().Str("event", "model_move_waits").Str("instance", b.instance.ID).Str("load", move.Load).
-			Str("evict", move.Evict).Dur("after_ms", unloadPatience).Send()
+	if wasLoading {
+		l.p.log.Warn().Str("event", "model_move_waits").Str("instance", state.instance.ID).Str("load", move.Load).
+			Str("evict", move.Evict).Dur("after_ms", delayedLoadAfter).Send()
 	}
 }
 
-// awaitLoad waits until the engine says that it holds a model that it was ordered to load.
-func (l *planner) awaitLoad(ctx context.Context, b *book, model string, expected time.Duration) error {
-	limit := time.Now().Add(3*expected + moveTimeout)
-	sleep(ctx, expected+confirmAfter)
-	unread := 0
+// awaitLoad waits until the engine reports that it holds a model that it was ordered to load.
+func (l *planner) awaitLoad(ctx context.Context, state *engineState, model string, expected time.Duration) error {
+	limit := time.Now().Add(3*expected + loadGrace)
+	sleep(ctx, expected+confirmDelay)
+	failedReads := 0
 	for {
-		if !l.reread(ctx, b) {
-			unread++
-		} else if l.holds(b, platform.Load, model, "") {
+		if !l.refresh(ctx, state) {
+			failedReads++
+		} else if l.orderInEffect(state, platform.Load, model, "") {
 			return nil
 		}
-		if time.Now().After(limit) || ctx.Err() != nil || unread >= maxUnread {
-			l.closeBook(b)
-			return errors.Wrapf(ErrOrder, "%s is not there after %v", model, 3*expected+moveTimeout)
+		if time.Now().After(limit) || ctx.Err() != nil || failedReads >= maxFailedReads {
+			l.invalidate(state)
+			return errors.Wrapf(ErrOrder, "load of model %s was not confirmed within %v", model, 3*expected+loadGrace)
 		}
-		sleep(ctx, confirmAfter)
+		sleep(ctx, confirmDelay)
 	}
 }
 
-// drop notes that a model is on its way out, with its adapters, so that no more
-// requests go there for it.
-func (l *planner) drop(b *book, model string) {
+// markUnloading records that a model is being unloaded and removes it and its adapters from the
+// state, so that no more requests for it are sent to the engine.
+func (l *planner) markUnloading(state *engineState, model string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b.leaving = model
-	delete(b.models, model)
-	for item := range b.adapters {
+	state.unloading = model
+	delete(state.models, model)
+	for item := range state.adapters {
 		if strings.HasPrefix(item, model+"/") {
-			delete(b.adapters, item)
+			delete(state.adapters, item)
 		}
 	}
 }
 
-// waitedTooLong reports whether the model of the move no longer counts as coming.
-func (l *planner) waitedTooLong(b *book) bool {
+// loadDelayed reports whether the model of the move no longer counts as loading.
+func (l *planner) loadDelayed(state *engineState) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return b.waiting != ""
+	return state.delayedLoad != ""
 }
 
-// left notes that the model on its way out is gone.
-func (l *planner) left(b *book) {
+// clearUnloading records that the unload has ended.
+func (l *planner) clearUnloading(state *engineState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b.leaving = ""
+	state.unloading = ""
 }
 
-func (l *planner) loadTime(b *book, move residency.ModelMove, spec *catalog.EngineSpec) time.Duration {
+func (l *planner) loadTime(state *engineState, move residency.ModelMove, spec *catalog.EngineSpec) time.Duration {
 	m := spec.Models[move.Load]
 	if move.FromStore {
 		return m.LoadTime
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if b.inMemory[move.Load] {
+	if state.inMemory[move.Load] {
 		return m.WarmTime
 	}
 	return m.DiskTime
--- a/internal/vm/planner.go
+++ b/internal/vm/planner.go
@@ -17,123 +17,129 @@
 )
 
 var (
-	// ErrNotLeader means that this VM may give no orders.
-	ErrNotLeader = errors.New("vm: this VM does not lead")
-	// ErrNoPlace means that no engine can take an adapter at present.
-	ErrNoPlace = errors.New("vm: no engine can take the adapter")
-	// ErrOrder means that an engine did not carry an order out.
+	// ErrNotLeader means that this VM may not give orders.
+	ErrNotLeader = errors.New("vm: this VM is not the leader")
+	// ErrNoPlace means that no engine can load an adapter at present.
+	ErrNoPlace = errors.New("vm: no engine can load the adapter")
+	// ErrOrder means that an engine did not carry out an order.
 	ErrOrder = errors.New("vm: order not carried out")
 )
 
 const (
-	// planEvery is how often the leader looks at the engines, and planShare the part of its
-	// time that it spends on that at most: a plan for hundreds of engines takes tens of
-	// milliseconds of a whole processor.
-	planEvery = 120 * time.Millisecond
-	planShare = 0.25
-	// adapterTime is how long an adapter takes from the order to its use.
-	adapterTime = 11 * time.Millisecond
-	// orderTries bounds the sendings of one order.
-	orderTries = 3
-	// openPause is the time between two questions to an engine that has no book: it
-	// may be starting, busy with an earlier leader's order, or gone.
-	openPause = 600 * time.Millisecond
+	// planInterval is the shortest time between two plans of the leader, and maxPlanShare the
+	// largest fraction of its time that planning may take: a plan for hundreds of engines
+	// takes tens of milliseconds of a whole processor.
+	planInterval = 120 * time.Millisecond
+	maxPlanShare = 0.25
+	// adapterLoadTime is how long it takes from the order to load an adapter until the adapter
+	// can be used.
+	adapterLoadTime = 11 * time.Millisecond
+	// maxOrderAttempts is how often one order is sent at most.
+	maxOrderAttempts = 3
+	// readRetryInterval is the time between two attempts to read the state of an engine
+	// without a valid engineState: the engine may be starting, busy with an earlier leader's
+	// order, or gone.
+	readRetryInterval = 600 * time.Millisecond
 )
 
 // planner gives orders while this VM leads.
 type planner struct {
 	p *Process
 
-	mu    sync.Mutex
-	token int64
-	books map[string]*book
-	// pending holds the adapters that are being brought, so that each is once.
-	pending map[string]*pendingAdapter
-	// demand is what each VM has reported, used when an item was last asked for.
-	demand map[string]*reportedDemand
-	used   map[string]time.Time
-	rates  map[string]*itemRate
-	// contents is what is known of the engines, by instance: on the leader from its
-	// books, elsewhere from the leader. A value is replaced when it changes.
-	contents contentsTable
-	loads    loadBudget
-	// settledUntil says until when a model stays on an engine.
-	settledUntil map[string]time.Time
-	// first is what is known of the engines before anybody asks for a model.
-	first firstLook
-	// notBefore says when an engine without a book may be asked again.
-	notBefore map[string]time.Time
+	mu     sync.Mutex
+	token  int64
+	states map[string]*engineState
+	// pendingAdapters holds the adapters that are being loaded, by item, so that concurrent
+	// callers share one load.
+	pendingAdapters map[string]*pendingAdapter
+	// demandByVM is the demand that each VM has reported, lastUsed the time of the last
+	// request for an item, demandRates the averaged demand for it.
+	demandByVM  map[string]*reportedDemand
+	lastUsed    map[string]time.Time
+	demandRates map[string]*demandRate
+	// contents holds the known contents of the engines, by instance: on the leader from its
+	// engine states, on other VMs from the leader. A value is replaced when it changes.
+	contents   contentsTable
+	loadBucket loadBucket
+	// pinnedUntil is the time before which a model is not evicted from an engine.
+	pinnedUntil map[string]time.Time
+	// startup is what this VM found on the engines before the first request.
+	startup startupInventory
+	// readNotBefore is when an engine without a valid state may be read again, by instance.
+	readNotBefore map[string]time.Time
 }
 
-// book is what the leader knows of one engine.
-type book struct {
-	// orders serializes the orders to the engine.
-	orders   sync.Mutex
+// engineState is the state of one engine as the leader knows it. It is valid while
+// planner.states holds it.
+type engineState struct {
+	// orderMu serializes the orders to the engine.
+	orderMu  sync.Mutex
 	instance *upstream.Instance
-	// born and accepted are the incarnation and the number of orders that it has
-	// accepted. Models and adapters are what it holds after these orders; every order
-	// names the number, so that none is carried out on top of one that is not known.
-	born     int64
-	accepted int64
-	models   map[string]bool
-	adapters map[string]bool
-	quick    map[string]bool
-	// inMemory is the part of quick that loads fastest.
+	// born is the engine's incarnation, ordersAccepted the number of orders that this
+	// incarnation has accepted. models and adapters are what the engine holds after these
+	// orders. Every order names the number, so that none is carried out on top of an order
+	// that the leader does not know.
+	born           int64
+	ordersAccepted int64
+	models         map[string]bool
+	adapters       map[string]bool
+	localWeights   map[string]bool
+	// inMemory is the part of localWeights that loads fastest.
 	inMemory map[string]bool
-	// busy means that a model is being moved, fromStore that its weights come from
-	// the weight store.
-	busy, fromStore bool
-	// coming is the model that is being loaded, leaving the one that is being unloaded: it
-	// is not among models any more, though the engine goes on to name it.
-	coming, leaving string
-	// waiting is a model that no longer counts as coming, since the unload before it takes
-	// too long.
-	waiting string
+	// moving reports that a model is being moved, fromStore that its weights come from the
+	// weight store.
+	moving, fromStore bool
+	// loading is the model that is being loaded, unloading the one that is being unloaded.
+	// The latter is no longer in models, although the engine still reports it.
+	loading, unloading string
+	// delayedLoad is a model that no longer counts as loading, since the unload before it
+	// takes too long.
+	delayedLoad string
 }
 
 type reportedDemand struct {
 	incarnation int64
-	items       map[string]assign.Demand
+	totals      map[string]assign.Demand
 }
 
 func newPlanner(p *Process) *planner {
 	return &planner{
-		p: p, books: make(map[string]*book), pending: make(map[string]*pendingAdapter),
-		demand: make(map[string]*reportedDemand), used: make(map[string]time.Time), rates: make(map[string]*itemRate), contents: newContentsTable(),
-		settledUntil: make(map[string]time.Time), notBefore: make(map[string]time.Time), first: firstLook{copies: make(map[string]int)},
+		p: p, states: make(map[string]*engineState), pendingAdapters: make(map[string]*pendingAdapter),
+		demandByVM: make(map[string]*reportedDemand), lastUsed: make(map[string]time.Time), demandRates: make(map[string]*demandRate), contents: newContentsTable(),
+		pinnedUntil: make(map[string]time.Time), readNotBefore: make(map[string]time.Time), startup: startupInventory{copies: make(map[string]int)},
 	}
 }
 
-// run looks after the engines while this VM leads.
+// run plans and gives orders while this VM leads, until ctx ends.
 func (l *planner) run(ctx context.Context) error {
-	pause := planEvery
+	pause := planInterval
 	for {
 		if !l.p.candidate.HasTerm() {
-			l.forget()
+			l.endTerm()
 			l.awaitElection(ctx)
 		}
 		sleep(ctx, pause)
 		if ctx.Err() != nil {
-			l.forget()
+			l.endTerm()
 			return nil
 		}
-		pause = planEvery
+		pause = planInterval
 		token, ok := l.p.candidate.Authority()
 		if !ok {
-			l.forget()
+			l.endTerm()
 			continue
 		}
 		l.heardUse(l.p.assigner.InUse(), time.Now())
 		l.heardDemand(l.p.settings.VM, l.p.fleet.incarnation, l.p.assigner.Demand(), time.Now())
-		l.adopt(ctx, token)
+		l.readNewEngines(ctx, token)
 		began := time.Now()
-		l.plan(ctx)
+		l.planMoves(ctx)
 		pause = planPause(time.Since(began))
 	}
 }
 
-// awaitElection returns when this VM has won an election, or ctx has ended. A fleet of hundreds
-// has one leader, and the others need not look every planEvery whether they are it.
+// awaitElection returns when this VM has won an election, or ctx has ended. Hundreds of VMs have
+// one leader, and the others need not check every planInterval whether they lead.
 func (l *planner) awaitElection(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -141,28 +147,28 @@
 	}
 }
 
-// planPause is the time between two plans of which the last took some time.
+// planPause returns the pause after a plan that took some time.
 func planPause(took time.Duration) time.Duration {
-	return max(planEvery, time.Duration(float64(took)*(1-planShare)/planShare))
+	return max(planInterval, time.Duration(float64(took)*(1-maxPlanShare)/maxPlanShare))
 }
 
-// forget drops the books of a term that has ended: another leader's orders will
-// have changed what they say.
-func (l *planner) forget() {
+// endTerm drops the engine states of a term that has ended: orders of another leader may have
+// changed the engines since.
+func (l *planner) endTerm() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.token != 0 {
 		l.token = 0
-		l.books = make(map[string]*book)
-		l.settledUntil = make(map[string]time.Time)
-		// The next term begins without loads in hand: another leader may have begun some.
-		l.loads = loadBudget{}
+		l.states = make(map[string]*engineState)
+		l.pinnedUntil = make(map[string]time.Time)
+		// The next term begins with an empty bucket: another leader may have begun loads.
+		l.loadBucket = loadBucket{}
 	}
 }
 
-// adopt opens a book for every engine that has none. The engine is asked what it
-// holds, since orders of an earlier leader may not show in its heartbeats yet.
-func (l *planner) adopt(ctx context.Context, token int64) {
+// readNewEngines reads the state of every engine without a valid one. It asks the engine
+// itself, since its heartbeats may not yet show orders of an earlier leader.
+func (l *planner) readNewEngines(ctx context.Context, token int64) {
 	instances := *l.p.instances.Load()
 	k := l.p.core.Catalog()
 	if k == nil {
@@ -170,104 +176,104 @@
 	}
 	l.mu.Lock()
 	if l.token != token {
-		l.token, l.books = token, make(map[string]*book)
+		l.token, l.states = token, make(map[string]*engineState)
 	}
 	now := time.Now()
-	var fresh []*upstream.Instance
-	for id, b := range l.books {
-		if i := instances[id]; i == nil || !i.Same(b.instance) {
-			delete(l.books, id)
-			delete(l.notBefore, id)
+	var unread []*upstream.Instance
+	for id, state := range l.states {
+		if i := instances[id]; i == nil || !i.Same(state.instance) {
+			delete(l.states, id)
+			delete(l.readNotBefore, id)
 		}
 	}
 	for id, i := range instances {
 		s := k.Services[i.Service]
-		if s != nil && s.Engine != nil && l.books[id] == nil && !i.Draining && now.After(l.notBefore[id]) {
-			l.notBefore[id] = now.Add(openPause)
-			fresh = append(fresh, i)
+		if s != nil && s.Engine != nil && l.states[id] == nil && !i.Draining && now.After(l.readNotBefore[id]) {
+			l.readNotBefore[id] = now.Add(readRetryInterval)
+			unread = append(unread, i)
 		}
 	}
 	l.mu.Unlock()
 	var wg sync.WaitGroup
-	for _, i := range fresh {
-		wg.Go(func() { l.open(ctx, token, i) })
+	for _, i := range unread {
+		wg.Go(func() { l.readEngine(ctx, token, i) })
 	}
 	wg.Wait()
 }
 
-func (l *planner) open(ctx context.Context, token int64, i *upstream.Instance) {
+func (l *planner) readEngine(ctx context.Context, token int64, i *upstream.Instance) {
 	report, err := l.p.replicas.Report(ctx, i)
 	if err != nil {
 		l.p.log.Warn().Str("event", "engine_not_read").Str("instance", i.ID).AnErr("cause", err).Send()
 		return
 	}
 	if report.Busy {
-		// What is being loaded does not show among the models: an order on top of it
+		// A model that is being loaded is not listed among the models. An order on top of it
 		// could overfill the engine, which would crash.
 		return
 	}
-	b := &book{instance: i}
-	b.read(report)
-	l.p.log.Info().Str("event", "engine_read").Str("instance", i.ID).Strs("models", slices.Sorted(maps.Keys(b.models))).
-		Strs("adapters", slices.Sorted(maps.Keys(b.adapters))).Strs("quick", slices.Sorted(maps.Keys(b.quick))).
-		Int64("accepted", b.accepted).Bool("busy", b.busy).Send()
+	state := &engineState{instance: i}
+	state.update(report)
+	l.p.log.Info().Str("event", "engine_read").Str("instance", i.ID).Strs("models", slices.Sorted(maps.Keys(state.models))).
+		Strs("adapters", slices.Sorted(maps.Keys(state.adapters))).Strs("quick", slices.Sorted(maps.Keys(state.localWeights))).
+		Int64("accepted", state.ordersAccepted).Bool("busy", state.moving).Send()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.token == token {
-		l.books[i.ID] = b
-		l.found(b, l.p.candidate.HasPredecessor(), time.Now())
+		l.states[i.ID] = state
+		l.recordFound(state, l.p.candidate.HasPredecessor(), time.Now())
 	}
 }
 
-// read takes a report over. Reports are some hundred milliseconds old: one from
-// before the last order that was accepted says nothing.
-func (b *book) read(r *platform.Report) {
-	if r.Born == b.born && r.OrdersAccepted < b.accepted {
+// update replaces the state by a report. Reports are some hundred milliseconds old: one from
+// before the last accepted order is ignored.
+func (s *engineState) update(r *platform.Report) {
+	if r.Born == s.born && r.OrdersAccepted < s.ordersAccepted {
 		return
 	}
-	b.born, b.accepted = r.Born, r.OrdersAccepted
-	b.models, b.adapters = make(map[string]bool), make(map[string]bool)
-	b.quick, b.inMemory = make(map[string]bool), make(map[string]bool)
+	s.born, s.ordersAccepted = r.Born, r.OrdersAccepted
+	s.models, s.adapters = make(map[string]bool), make(map[string]bool)
+	s.localWeights, s.inMemory = make(map[string]bool), make(map[string]bool)
 	for _, m := range r.Models {
-		b.models[m.Model] = true
+		s.models[m.Model] = true
 		for _, a := range m.Adapters {
-			b.adapters[residency.Item(m.Model, a)] = true
+			s.adapters[residency.Item(m.Model, a)] = true
 		}
 	}
 	for _, item := range r.Incoming {
-		b.adapters[item] = true
+		s.adapters[item] = true
 	}
 	for _, m := range slices.Concat(r.InMemory, r.OnDisk) {
-		b.quick[m] = true
+		s.localWeights[m] = true
 	}
 	for _, m := range r.InMemory {
-		b.inMemory[m] = true
+		s.inMemory[m] = true
 	}
 }
 
-func (l *planner) book(id string) *book {
+func (l *planner) state(id string) *engineState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.books[id]
+	return l.states[id]
 }
 
-// engines returns the state of a service's engines for decisions.
+// engines returns the engines of a service, ordered by ID, as input of a plan.
 func (l *planner) engines(service string) []residency.Engine {
 	loads := l.p.assigner.Totals(time.Now())
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make([]residency.Engine, 0, len(l.books))
-	for id, b := range l.books {
-		if b.instance.Service != service {
+	out := make([]residency.Engine, 0, len(l.states))
+	for id, state := range l.states {
+		if state.instance.Service != service {
 			continue
 		}
 		load, usable := loads[id]
 		e := residency.Engine{
-			ID: id, Models: maps.Clone(b.models), Adapters: make(map[string]time.Time, len(b.adapters)), Busy: b.busy, Loading: b.coming,
-			Usable: usable && !l.draining(id), PrefillBacklog: load.PrefillTokens, LocalWeights: b.quick, InFlight: load.Running, DelayedLoad: b.waiting,
+			ID: id, Models: maps.Clone(state.models), Adapters: make(map[string]time.Time, len(state.adapters)), Busy: state.moving, Loading: state.loading,
+			Usable: usable && !l.isDraining(id), PrefillBacklog: load.PrefillTokens, LocalWeights: state.localWeights, InFlight: load.Running, DelayedLoad: state.delayedLoad,
 		}
-		for item := range b.adapters {
-			e.Adapters[item] = l.used[item]
+		for item := range state.adapters {
+			e.Adapters[item] = l.lastUsed[item]
 		}
 		out = append(out, e)
 	}
@@ -275,8 +281,8 @@
 	return out
 }
 
-// draining reports whether an instance leaves or is gone.
-func (l *planner) draining(id string) bool {
+// isDraining reports whether an instance is draining or gone.
+func (l *planner) isDraining(id string) bool {
 	i := l.p.instance(id)
 	return i == nil || i.Draining
 }
--- a/internal/vm/planner_test.go
+++ b/internal/vm/planner_test.go
@@ -11,8 +11,8 @@
 	"github.com/chestnutarch/chestnutarch/platform/standin"
 )
 
-// A caller asks for an adapter that no engine holds, at a VM that does not lead. The
-// leader brings it, and the caller gets its answer without noticing.
+// A caller requests an adapter that no engine holds, at a VM that does not lead. The leader has
+// the adapter loaded, and the caller gets its response.
 func TestAdapterIsBroughtWhenItIsAskedFor(t *testing.T) {
 	engine := standin.NewReplica("engine-1", 2, "m0")
 	c := newCluster(t, engine)
@@ -28,9 +28,9 @@
 	require.Equal(t, words(1, 2, 3), got.body)
 }
 
-// The answer to an order is lost although the engine carried it out. Sent again with
-// the same number of accepted orders, it is refused, and the engine's report tells that
-// the adapter is there: it is neither loaded twice nor given up.
+// The reply to an order is lost although the engine carried it out. Sent again with the same
+// number of accepted orders, the order is refused, and the engine's report shows the adapter: it
+// must be neither loaded twice nor given up.
 func TestOrderWhoseAnswerIsLostIsSettled(t *testing.T) {
 	engine := standin.NewReplica("engine-1", 2, "m0")
 	engine.LoseOrders(1)
@@ -48,9 +48,9 @@
 	require.Equal(t, 1, loads)
 }
 
-// A leader dies while an engine loads the model that it was ordered to. The engine's
-// list does not name the model yet. A successor that trusted the list would order one
-// more than fits, and the engine would crash with everything that it serves.
+// A leader dies while an engine loads a model on its order. The engine does not list the model
+// yet. A successor that relied on the list would order one model more than fits, and the engine
+// would crash with everything that it serves.
 func TestSuccessorWaitsForALoadUnderWay(t *testing.T) {
 	engine := standin.NewReplica("engine-1", 2, "m0")
 	engine.SetLoadTime(1500 * time.Millisecond)
@@ -63,13 +63,13 @@
 	c.start("a")
 	c.waitLeader()
 	c.eventually(func() bool { return len(c.vms[0].planner.engines("engine")[0].Models) == 2 })
-	time.Sleep(3 * planEvery)
+	time.Sleep(3 * planInterval)
 	_, overfull := engine.Orders()
 	require.False(t, overfull)
 }
 
-// No engine holds a model that is asked for. It is loaded, and callers are told to come
-// back rather than wait for their timeout.
+// No engine holds a requested model. It is loaded, and meanwhile callers get a Retry-After header
+// instead of waiting for their timeout.
 func TestMissingModelIsLoaded(t *testing.T) {
 	c := newCluster(t, standin.NewReplica("engine-1", 2, "m0"))
 	v := c.start("a")
@@ -84,112 +84,111 @@
 	require.False(t, overfull)
 }
 
-// An engine takes an order that this leader does not know of, such as one of an earlier
-// term whose answer was lost, while the leader's own is on its way. The leader's order is
-// refused, since it names the number of orders before. It must be thought over and not
-// just sent again with the new number: there may be no room for it any more, and the
-// engine would crash.
+// An engine accepts an order that this leader does not know, such as one of an earlier term whose
+// reply was lost, while the leader's own order is in flight. The leader's order is refused, since
+// it names the previous number of orders. It must be planned again instead of being resent with
+// the new number: there may no longer be room for it, and the engine would crash.
 func TestOrderIsNotRepeatedOnTopOfAnotherOne(t *testing.T) {
 	engine := standin.NewReplica("engine-1", 2, "m0", "m1")
 	c := newCluster(t, engine)
 	v := c.start("a")
 	c.waitLeader()
 	c.eventually(func() bool { return len(c.vms[0].planner.engines("engine")[0].Models) == 2 })
-	b := v.planner.book("engine-1")
-	b.orders.Lock()
-	defer b.orders.Unlock()
-	// The book thinks that there is room.
+	state := v.planner.state("engine-1")
+	state.orderMu.Lock()
+	defer state.orderMu.Unlock()
+	// According to the leader's state there is room for a model.
 	v.planner.mu.Lock()
-	delete(b.models, "m1")
+	delete(state.models, "m1")
 	v.planner.mu.Unlock()
 	response, err := http.Post(c.servers["engine-1"].URL+"/order", "application/json",
 		strings.NewReader(`{"operation":"load","model":"m1","adapter":"a1","holder":"gone","fencing-token":1}`))
 	require.NoError(t, err)
 	require.NoError(t, response.Body.Close())
-	require.Error(t, v.planner.order(t.Context(), b, "load", "m2", ""))
+	require.Error(t, v.planner.sendOrder(t.Context(), state, "load", "m2", ""))
 	_, overfull := engine.Orders()
 	require.False(t, overfull)
-	require.Nil(t, v.planner.book("engine-1"), "the engine is read anew")
+	require.Nil(t, v.planner.state("engine-1"), "the state must be invalid, so that the engine is read again")
 }
 
-// A leader loses its lease in the middle of a move and wins the next election. What it
-// had begun rests on books of the earlier term; it gives no more orders by them.
+// A leader loses its lease during a move and wins the next election. The move is based on an
+// engine state of the earlier term and must give no more orders.
 func TestMoveOfAnEarlierTermGivesNoOrders(t *testing.T) {
 	engine := standin.NewReplica("engine-1", 2, "m0", "m1")
 	c := newCluster(t, engine)
 	v := c.start("a")
 	c.waitLeader()
-	b := v.planner.book("engine-1")
-	v.planner.forget()
-	require.ErrorIs(t, v.planner.order(t.Context(), b, "load", "m2", ""), ErrNotLeader)
+	state := v.planner.state("engine-1")
+	v.planner.endTerm()
+	require.ErrorIs(t, v.planner.sendOrder(t.Context(), state, "load", "m2", ""), ErrNotLeader)
 	orders, _ := engine.Orders()
 	require.Empty(t, orders)
 }
 
-// A lost order of an earlier leader is carried out late, right after this leader's own. The
-// engine reports one order more than the book knows of, and is loading a model that shows
-// nowhere. A book that simply took the number over would think that there is room, and the
-// next order would be accepted and overfill the engine.
-func TestLateOrderOfAnotherLeaderClosesTheBook(t *testing.T) {
+// A delayed order of an earlier leader is carried out right after this leader's own. The engine
+// reports one order more than its state counts, and is loading a model that it does not report.
+// If the state only adopted the new number, it would show free memory, and the next order would
+// be accepted and overfill the engine.
+func TestLateOrderOfAnotherLeaderInvalidatesState(t *testing.T) {
 	engine := standin.NewReplica("engine-1", 2, "m0", "m1")
 	engine.SetLoadTime(2 * time.Second)
 	c := newCluster(t, engine)
 	v := c.start("a")
 	c.waitLeader()
-	b := v.planner.book("engine-1")
+	state := v.planner.state("engine-1")
 	response, err := http.Post(c.servers["engine-1"].URL+"/order", "application/json",
 		strings.NewReader(`{"operation":"load","model":"m1","holder":"gone","fencing-token":1}`))
 	require.NoError(t, err)
 	require.NoError(t, response.Body.Close())
-	require.False(t, v.planner.reread(t.Context(), b))
-	require.Nil(t, v.planner.book("engine-1"))
+	require.False(t, v.planner.refresh(t.Context(), state))
+	require.Nil(t, v.planner.state("engine-1"))
 }
 
-// An adapter that is to make way is still in use, so its unload waits. Ordered again, the
-// engine says once more that it is carried out, without counting it, and the book would
-// run ahead of the engine's count. A late order that names the higher number would then be
-// carried out when the count gets there, on top of whatever the engine holds by then.
-func TestUnloadThatWaitsClosesTheBook(t *testing.T) {
+// An adapter to be evicted is still in use, so its unload waits. If the unload is ordered again,
+// the engine accepts it without counting it, and the leader's count would exceed the engine's. A
+// late order that names the higher number would then be carried out when the engine's count
+// reaches it, on top of whatever the engine holds by then.
+func TestDelayedAdapterUnloadInvalidatesState(t *testing.T) {
 	engine := standin.NewReplica("engine-1", 2, "m0", "m1")
 	engine.UseAdapters()
 	c := newCluster(t, engine)
 	v := c.start("a")
 	c.waitLeader()
-	b := v.planner.book("engine-1")
-	b.orders.Lock()
-	defer b.orders.Unlock()
-	require.ErrorIs(t, v.planner.order(t.Context(), b, "unload", "m0", "a1"), errBusy)
-	require.Nil(t, v.planner.book("engine-1"))
+	state := v.planner.state("engine-1")
+	state.orderMu.Lock()
+	defer state.orderMu.Unlock()
+	require.ErrorIs(t, v.planner.sendOrder(t.Context(), state, "unload", "m0", "a1"), errBusy)
+	require.Nil(t, v.planner.state("engine-1"))
 }
 
-// An engine carries out a load that an earlier leader ordered, late, when callers ask for
-// adapters. The first order to make room for one is refused. Without closing the book each
-// further caller would cost one more order in vain, a hundred of them in a few seconds.
-func TestEngineBusyWithAnUnknownOrderIsLeftInPeace(t *testing.T) {
+// An engine carries out a late load of an earlier leader when callers request adapters. The first
+// order to make room for an adapter is refused. If the state stayed valid, each further caller
+// would cost one more futile order, a hundred of them in a few seconds.
+func TestEngineBusyWithUnknownOrderGetsNoFurtherOrders(t *testing.T) {
 	engine := standin.NewReplica("engine-1", 2, "m0")
 	engine.SetLoadTime(time.Minute)
 	c := newCluster(t, engine)
 	v := c.start("a")
 	c.waitLeader()
-	b := v.planner.book("engine-1")
+	state := v.planner.state("engine-1")
 	response, err := http.Post(c.servers["engine-1"].URL+"/order", "application/json",
 		strings.NewReader(`{"operation":"load","model":"m1","holder":"gone","fencing-token":1}`))
 	require.NoError(t, err)
 	require.NoError(t, response.Body.Close())
 	spec := v.core.Catalog().Services["engine"].Engine
-	require.Error(t, v.planner.swapAdapter(t.Context(), b, "m0/a1", "m0", "a2", spec))
-	require.Nil(t, v.planner.book("engine-1"))
+	require.Error(t, v.planner.swapAdapter(t.Context(), state, "m0/a1", "m0", "a2", spec))
+	require.Nil(t, v.planner.state("engine-1"))
 	for range 5 {
-		_, err := v.planner.bring(t.Context(), "engine", "m0", "a2")
+		_, err := v.planner.placeAdapter(t.Context(), "engine", "m0", "a2")
 		require.ErrorIs(t, err, ErrNoPlace)
 	}
 	refused, _ := engine.Refused()
 	require.Equal(t, 1, refused)
 }
 
-// The VM that leads is told to stop, as in a rolling restart. Its successor will give no
-// orders for seconds, so the leader goes on as long as it may: callers who need an adapter
-// get it all the while.
+// The leader is asked to stop, as in a rolling restart. Its successor will give no orders for
+// seconds, so the leader continues to lead as long as it may, and callers that need an adapter
+// still get it.
 func TestStoppingLeaderLeadsOn(t *testing.T) {
 	c := newCluster(t, standin.NewReplica("engine-1", 2, "m0"))
 	a, b := c.start("a"), c.start("b")
@@ -209,11 +208,11 @@
 	c.eventually(func() bool { return c.waitLeader() == other })
 }
 
-// A missing model is to take the place of another one whose streams still run, so the
-// unload waits for seconds. The model is brought to another engine meanwhile: its callers
-// would be refused until the last stream has ended. The engine that waits is left in peace,
-// and gets no requests for the model that leaves it.
-func TestMissingModelGoesElsewhereWhenAnUnloadWaits(t *testing.T) {
+// A missing model is to replace another one whose streams have not ended, so the unload waits for
+// seconds. Meanwhile the model must be loaded on another engine, or its callers would be refused
+// until the last stream has ended. The waiting engine gets no further orders and no requests for
+// the model that it is unloading.
+func TestMissingModelIsLoadedElsewhereWhenUnloadWaits(t *testing.T) {
 	one, two := standin.NewReplica("engine-1", 2, "m0", "m1"), standin.NewReplica("engine-2", 2, "m0", "m1")
 	one.HoldUnloads(true)
 	two.HoldUnloads(true)
@@ -222,31 +221,34 @@
 	c.describeModels("engine-2", "m0", "m1")
 	v := c.start("a")
 	c.waitLeader()
-	c.eventually(func() bool { return unloads(one)+unloads(two) > 0 })
-	waits, other := one, two
-	if unloads(two) > 0 {
-		waits, other = two, one
+	c.eventually(func() bool { return unloadCount(one)+unloadCount(two) > 0 })
+	waiting, other := one, two
+	if unloadCount(two) > 0 {
+		waiting, other = two, one
 	}
 	other.HoldUnloads(false)
 	c.eventually(func() bool {
 		return c.ask(v, call{method: "POST", path: "/draft/", model: "m2"}).status == http.StatusOK
 	})
-	require.NotNil(t, v.planner.book(waits.ID), "its unload still waits")
-	orders, _ := waits.Orders()
+	require.NotNil(t, v.planner.state(waiting.ID), "the state of the engine must stay valid while its unload waits")
+	orders, _ := waiting.Orders()
 	require.Len(t, orders, 1)
-	refusedOrders, _ := waits.Refused()
-	require.Equal(t, 1, refusedOrders, "the engine is asked how far it is, not ordered again and again")
+	refusedOrders, _ := waiting.Refused()
+	require.Equal(t, 1, refusedOrders, "the waiting engine must be read, not sent the load repeatedly")
 	for range 6 {
-		require.Equal(t, http.StatusOK, c.ask(v, call{method: "POST", path: "/draft/", model: modelThatStays(waits)}).status)
-		c.ask(v, call{method: "POST", path: "/draft/", model: modelThatLeaves(waits)})
+		require.Equal(t, http.StatusOK, c.ask(v, call{method: "POST", path: "/draft/", model: remainingModel(waiting)}).status)
+		c.ask(v, call{method: "POST", path: "/draft/", model: unloadedModel(waiting)})
 	}
-	_, requests := waits.Refused()
+	_, requests := waiting.Refused()
 	require.Zero(t, requests)
-	waits.HoldUnloads(false)
-	c.eventually(func() bool { b := v.planner.book(waits.ID); return b != nil && !v.planner.engines("engine")[0].Busy })
+	waiting.HoldUnloads(false)
+	c.eventually(func() bool {
+		state := v.planner.state(waiting.ID)
+		return state != nil && !v.planner.engines("engine")[0].Busy
+	})
 }
 
-func unloads(r *standin.Replica) int {
+func unloadCount(r *standin.Replica) int {
 	orders, _ := r.Orders()
 	n := 0
 	for _, o := range orders {
@@ -257,20 +259,20 @@
 	return n
 }
 
-func modelThatLeaves(r *standin.Replica) string {
+func unloadedModel(r *standin.Replica) string {
 	orders, _ := r.Orders()
 	return strings.TrimPrefix(orders[0], "unload ")
 }
 
-func modelThatStays(r *standin.Replica) string {
-	if modelThatLeaves(r) == "m0" {
+func remainingModel(r *standin.Replica) string {
+	if unloadedModel(r) == "m0" {
 		return "m1"
 	}
 	return "m0"
 }
 
-// A tenant of a team with a priority of its own comes on a route of another priority. The
-// team's goes first, or its requests wait behind others in an engine that has much to do.
+// A request of a team with its own priority arrives on a route with another priority. The team's
+// priority takes precedence, or its requests would wait behind others in a busy engine.
 func TestTeamsPriorityGoesBeforeTheRoutes(t *testing.T) {
 	engine := standin.NewReplica("engine-1", 2, "m0")
 	c := newCluster(t, engine)
@@ -282,27 +284,27 @@
 	require.Equal(t, "1", engine.Runs()[0].Header.Get("X-Chestnutarch-Request-Priority"))
 }
 
-// A leader of hundreds of engines has a fifth of a processor. If it began its next plan a
-// moment after the last one, callers of that VM would wait for it all day.
+// A leader of hundreds of engines has a fifth of a processor. If it began the next plan right
+// after the last one, callers of that VM would constantly wait for planning.
 func TestPlansLeaveTheProcessorToCallers(t *testing.T) {
-	require.Equal(t, planEvery, planPause(time.Millisecond))
+	require.Equal(t, planInterval, planPause(time.Millisecond))
 	took := 300 * time.Millisecond
-	require.InDelta(t, planShare, took.Seconds()/(took+planPause(took)).Seconds(), 1e-6)
+	require.InDelta(t, maxPlanShare, took.Seconds()/(took+planPause(took)).Seconds(), 1e-6)
 }
 
-// All VMs lose power and start again, and one of them leads three seconds later. It has heard of
-// requests for a moment only, and models that are asked for every few seconds seem to be asked
-// for by nobody: they made way by the dozen, and their next callers were refused.
+// All VMs lose power and restart, and one of them leads three seconds later. It has observed
+// requests for only a moment, so models that are requested every few seconds appear idle. If they
+// counted as idle, they would be evicted by the dozen and their next callers refused.
 func TestSuccessorTakesWhatItFindsForAskedFor(t *testing.T) {
 	now := time.Now()
-	used := func(succeeds bool, asked time.Time) bool {
+	countsAsUsed := func(hasPredecessor bool, firstRequestAt time.Time) bool {
 		l := newPlanner(nil)
-		l.first.asked = asked
-		l.found(&book{models: map[string]bool{"m0": true}}, succeeds, now)
-		return now.Sub(l.used["m0"]) <= idleTime
+		l.startup.firstRequestAt = firstRequestAt
+		l.recordFound(&engineState{models: map[string]bool{"m0": true}}, hasPredecessor, now)
+		return now.Sub(l.lastUsed["m0"]) <= modelIdleTime
 	}
-	require.True(t, used(true, time.Time{}))
-	require.True(t, used(true, now.Add(-idleTime/2)))
-	require.False(t, used(true, now.Add(-2*idleTime)), "it knows by itself")
-	require.False(t, used(false, time.Time{}), "nobody has placed anything by demand")
+	require.True(t, countsAsUsed(true, time.Time{}))
+	require.True(t, countsAsUsed(true, now.Add(-modelIdleTime/2)))
+	require.False(t, countsAsUsed(true, now.Add(-2*modelIdleTime)), "the VM has observed requests long enough itself")
+	require.False(t, countsAsUsed(false, time.Time{}), "no leader before has placed models by demand")
 }
--- a/internal/vm/tracker.go
+++ b/internal/vm/tracker.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// watchWait is how long one watch waits for a change. It bounds, with the
-	// store's timeout, how long a watch can be silent unnoticed.
+	// watchWait is how long one watch call waits for a change. Together with the store's
+	// timeout it bounds how long a silent watch goes unnoticed.
 	watchWait = 500 * time.Millisecond
-	// watchPause is the time between two watches. Instances write all the time, so a
-	// watch returns at once; without a pause every heartbeat would cost a call of
-	// every VM. A configuration has to be in force within two seconds.
+	// watchPause is the shortest time between two watch calls. Instances write constantly, so
+	// a watch returns at once, and without a pause every heartbeat would cost a call of every
+	// VM. A configuration has to be in force within two seconds.
 	watchPause = 600 * time.Millisecond
-	// pauseFleet is the number of VMs up to which the pause is the shortest: a dozen VMs
-	// make some 20 calls a second.
+	// pauseFleet is the number of VMs up to which the pause is watchPause: a dozen VMs make
+	// about 20 calls a second.
 	pauseFleet = 12
-	// retryPause is the time between tries while the store does not answer.
+	// retryPause is the shortest time between attempts while the store does not answer.
 	retryPause = 150 * time.Millisecond
-	// returnGrace is how long after the store's return an entry that lapsed is still
-	// believed. Leases may run out while the store is away; what lives is back
-	// within about two seconds.
-	returnGrace = 2200 * time.Millisecond
+	// lapsedGrace is how long after the last failed call of the store an entry that has
+	// disappeared is kept. Leases may expire while the store is unavailable, and a living
+	// instance writes its entry again within about two seconds of the store's return.
+	lapsedGrace = 2200 * time.Millisecond
 )
 
 // view is the state of the store as this VM knows it.
@@ -42,73 +42,75 @@
 	revision int64
 }
 
-// tracker follows all keys of the store, with one watch or through a hub.
+// tracker keeps a view of all keys of the store, with one watch or through a hub.
 type tracker struct {
 	store   store.Store
 	log     zerolog.Logger
 	changed func(view)
 	relay   relay
 	values  values
-	// following says that this VM learns of the store through a hub.
+	// following reports that this VM follows the store through a hub.
 	following atomic.Bool
-	// vms is the number of VMs, longest the longest pause between two watches.
-	vms     func() int
-	longest time.Duration
-	// stale is the largest age of a hub's view, hubPause the time between two watches of
-	// a hub.
+	// vms returns the number of VMs. maxPause is the longest pause between two watch calls.
+	vms      func() int
+	maxPause time.Duration
+	// stale is the largest acceptable age of a hub's view, hubPause the time between two
+	// watch calls of a hub.
 	stale, hubPause time.Duration
 
 	mu      sync.Mutex
 	view    view
 	changes *changes
-	// watching says that this VM watches the store itself.
+	// watching reports that this VM watches the store itself.
 	watching bool
-	// avoided holds the hubs that have failed this VM lately, by address.
+	// avoided holds the hubs that have recently failed for this VM, by address.
 	avoided map[string]avoidance
-	// lapsed holds entries that disappeared while the store was away or had just
-	// returned, with the time at which they are given up.
+	// lapsed holds the keys of entries that disappeared while the store was unavailable or
+	// had just returned, with the time until which the entries are kept.
 	lapsed map[string]time.Time
 	// failedAt is when a call of the store last failed.
 	failedAt time.Time
-	lost     bool
+	// storeLost reports that the loss of the store was logged and no view was published since.
+	storeLost bool
 	// fresh is when the view was last known to be complete.
 	fresh time.Time
 }
 
-// newTracker returns a tracker of a store whose configurations have to be in force within
-// some time.
+// newTracker returns a tracker of a store whose configurations have to be in force within the
+// time inForce.
 func newTracker(s store.Store, log zerolog.Logger, changed func(view), vms func() int, inForce time.Duration, r relay) *tracker {
 	return &tracker{
 		store: s, log: log, changed: changed, vms: vms, relay: r, values: newValues(),
-		longest: inForce * 2 / 3, stale: inForce / staleShare, hubPause: inForce / hubPauseShare,
+		maxPause: inForce * 2 / 3, stale: inForce / staleShare, hubPause: inForce / hubPauseShare,
 		changes: newChanges(), avoided: make(map[string]avoidance), lapsed: make(map[string]time.Time),
 	}
 }
 
 // run follows the store until ctx ends.
 func (t *tracker) run(ctx context.Context) error {
-	read, failures := t.list, 0
+	read, failures := t.listAll, 0
 	for ctx.Err() == nil {
 		if err := read(ctx); err != nil {
-			t.failed(err)
+			t.recordFailure(err)
 			sleep(ctx, t.retryAfter(failures))
 			failures++
 			if _, ok := t.mayFollow(time.Now()); !ok {
 				continue
 			}
-			// The store goes on to turn this VM away, and a hub may know more by now.
+			// The store keeps rejecting this VM, and a hub may have a newer view by now.
 		}
-		read, failures = t.list, 0
-		if t.follow(ctx) == nil && t.at() > 0 {
+		read, failures = t.listAll, 0
+		if t.watchOrFollow(ctx) == nil && t.at() > 0 {
 			read = t.listLeased
 		}
 	}
 	return nil
 }
 
-// follow watches until the history is gone, or follows a hub until that fails. It returns
-// store.ErrCompacted, wrapped, if the view lacks changes that a watch will not tell.
-func (t *tracker) follow(ctx context.Context) error {
+// watchOrFollow watches the store until its history is compacted, or follows a hub until the hub
+// fails. It returns store.ErrCompacted, wrapped, if the view lacks changes that a watch will no
+// longer return.
+func (t *tracker) watchOrFollow(ctx context.Context) error {
 	failures := 0
 	for ctx.Err() == nil {
 		if hub, ok := t.mayFollow(time.Now()); ok {
@@ -123,31 +125,31 @@
 		case errors.Is(err, store.ErrCompacted):
 			return err
 		case err != nil:
-			t.failed(err)
+			t.recordFailure(err)
 			sleep(ctx, t.retryAfter(failures))
 			failures++
 			continue
 		}
 		failures = 0
-		t.apply(events)
-		sleep(ctx, t.pause())
+		t.applyEvents(events)
+		sleep(ctx, t.watchInterval())
 	}
 	return nil
 }
 
-// pause is the time between two watches. It grows with the fleet, so that the calls of
-// all VMs grow more slowly: VMs tell each other what the one has seen that watched last.
-func (t *tracker) pause() time.Duration {
+// watchInterval is the pause between two watch calls. It grows with the fleet, so that the total
+// number of calls grows more slowly: VMs share what the one that watched last has seen.
+func (t *tracker) watchInterval() time.Duration {
 	if len(t.relay.hubs()) == 0 && t.vms() > pauseFleet {
-		// Others follow this VM.
+		// This VM is a hub: others follow it.
 		return t.hubPause
 	}
 	scaled := watchPause * time.Duration(t.vms()) / pauseFleet
-	return min(max(watchPause, scaled), max(watchPause, t.longest))
+	return min(max(watchPause, scaled), max(watchPause, t.maxPause))
 }
 
-// retryAfter is the time until the next try after so many in a row that failed. In a large
-// fleet it grows: a store that turns VMs away answers each of their tries.
+// retryAfter is the time until the next attempt after a number of consecutive failures. In a
+// large fleet it grows with that number: a store that rejects VMs still answers every attempt.
 func (t *tracker) retryAfter(failures int) time.Duration {
 	if t.vms() <= pauseFleet {
 		return retryPause
@@ -161,22 +163,22 @@
 	return t.view.revision
 }
 
-// list reads everything. An entry that is missing then was deleted while nobody
-// watched.
-func (t *tracker) list(ctx context.Context) error {
+// listAll reads all keys. An entry of the view that is missing then was deleted while this VM did
+// not watch.
+func (t *tracker) listAll(ctx context.Context) error {
 	listing, err := t.store.Range(ctx, "")
 	if err != nil {
 		return err
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.adopt(listing.Items, listing.Revision)
+	t.replaceView(listing.Items, listing.Revision)
 	return nil
 }
 
-// listLeased reads the keys that leases keep, after this VM has followed a hub: a hub may
-// have told it of keys that the store had dropped. A watch from the view's revision tells
-// what has happened to the others. All VMs behind a hub that is lost do this at once, and
+// listLeased reads the keys that are bound to leases, after this VM has followed a hub: the hub's
+// view may have held keys that the store had already dropped. A watch from the view's revision
+// returns the changes of all other keys. All VMs behind a lost hub do this at the same time, and
 // the configuration is most of what the store holds.
 func (t *tracker) listLeased(ctx context.Context) error {
 	var items []store.Item
@@ -190,12 +192,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, item := range t.view.items {
-		if !leased(item.Key) {
+		if !isLeased(item.Key) {
 			items = append(items, item)
 		}
 	}
 	complete := t.fresh
-	t.adopt(items, t.view.revision)
+	t.replaceView(items, t.view.revision)
 	t.fresh = complete
 	return nil
 }
@@ -203,19 +205,20 @@
 // leasedPrefixes are the prefixes of keys that the store drops when their leases end.
 var leasedPrefixes = []string{platform.InstancePrefix, ownPrefix}
 
-func leased(key string) bool {
+func isLeased(key string) bool {
 	return slices.ContainsFunc(leasedPrefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 }
 
-// adopt makes the items that were read the view. It must be called with the lock held.
-func (t *tracker) adopt(items []store.Item, revision int64) {
+// replaceView replaces the view by the items that were read, and keeps lapsed entries. It must be
+// called with the lock held.
+func (t *tracker) replaceView(items []store.Item, revision int64) {
 	now := time.Now()
 	next := make(map[string]store.Item, len(items))
 	for _, item := range items {
 		next[item.Key] = item
 	}
 	for key, old := range t.view.items {
-		if _, ok := next[key]; !ok && t.hold(key, now) {
+		if _, ok := next[key]; !ok && t.keepLapsed(key, now) {
 			next[key] = old
 		}
 	}
@@ -228,14 +231,14 @@
 	t.publish(view{items: next, revision: revision}, now)
 }
 
-func (t *tracker) apply(events store.Events) {
+func (t *tracker) applyEvents(events store.Events) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	next := maps.Clone(t.view.items)
 	for _, e := range events.Events {
 		if e.Revision < next[e.Key].Revision {
-			// The key was read after this.
+			// The key was read after this change.
 			continue
 		}
 		if !e.Deleted {
@@ -243,29 +246,29 @@
 			delete(t.lapsed, e.Key)
 			continue
 		}
-		if !t.hold(e.Key, now) {
+		if !t.keepLapsed(e.Key, now) {
 			delete(next, e.Key)
 		}
 	}
 	t.publish(view{items: next, revision: events.Revision}, now)
 }
 
-// hold reports whether an entry that has disappeared is to be kept for a while: if
-// the store was away just now, its lease may have lapsed although the instance
-// lives.
-func (t *tracker) hold(key string, now time.Time) bool {
+// keepLapsed reports whether an entry that has disappeared is to be kept for now: if a call of
+// the store failed recently, the entry's lease may have expired although the instance lives.
+func (t *tracker) keepLapsed(key string, now time.Time) bool {
 	if strings.HasPrefix(key, ownPrefix) || t.failedAt.IsZero() {
 		return false
 	}
 	until, ok := t.lapsed[key]
 	if !ok {
-		until = t.failedAt.Add(returnGrace)
+		until = t.failedAt.Add(lapsedGrace)
 		t.lapsed[key] = until
 	}
 	return now.Before(until)
 }
 
-// publish must be called with the lock held.
+// publish makes next the view, without the entries that were kept long enough. It must be called
+// with the lock held.
 func (t *tracker) publish(next view, now time.Time) {
 	for key, until := range t.lapsed {
 		if now.After(until) {
@@ -273,8 +276,8 @@
 			delete(t.lapsed, key)
 		}
 	}
-	if t.lost {
-		t.lost = false
+	if t.storeLost {
+		t.storeLost = false
 		t.log.Info().Str("event", "store_regained").Int64("revision", next.revision).Send()
 	}
 	t.changes.note(t.view.items, next.items)
@@ -285,12 +288,12 @@
 	t.changed(next)
 }
 
-func (t *tracker) failed(err error) {
+func (t *tracker) recordFailure(err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.failedAt = time.Now()
-	if !t.lost {
-		t.lost = true
+	if !t.storeLost {
+		t.storeLost = true
 		t.log.Warn().Str("event", "store_lost").AnErr("cause", err).Int64("revision", t.view.revision).
 			Dur("age_ms", time.Since(t.fresh)).Send()
 	}
@@ -305,7 +308,7 @@
 	}
 }
 
-// age returns how old the newest view is.
+// age returns the time since the view was last known to be complete.
 func (t *tracker) age() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
