--- a/internal/vm/addresses.go
+++ b/internal/vm/addresses.go
@@ -8,29 +8,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Addresses implements platform.Directory. The VMs of the caller's failure domain
-// come with the others: every one carries its share, and callers choose at random.
+// Addresses implements platform.Directory. VMs of all failure domains are returned, not just
+// those of the caller's: every VM carries its share of the load, and callers choose at
+// random.
 func (f *fleet) Addresses(domain string) ([]string, time.Duration) {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
-	if f.p.ready() {
-		out = append(out, f.p.settings.Callers)
+	if f.process.ready() {
+		out = append(out, f.process.settings.Callers)
 	}
 	for vm, m := range f.members {
-		if f.takesCallers(vm, m, later(m.heard, m.started), unheardAfter, now) {
+		if f.takesCallers(vm, m, later(m.lastReport, m.firstSeen), peerTimeout, now) {
 			out = append(out, m.Callers)
 		}
 	}
-	return selectAddresses(out, domain), min(addressLifetime, f.p.settings.Bounds.AddressLifetime)
+	return selectAddresses(out, domain), min(addressLifetime, f.process.settings.Bounds.AddressLifetime)
 }
 
-// selectAddresses returns at most maxAddresses, in order. Where there are more, callers of
-// each failure domain are told of others of them: with the same selection for all, the VMs
-// that it leaves out would get no callers at all. A domain's selection changes only by the
-// VMs that come and go, since callers give up connections to addresses that are not named
-// any more.
+// selectAddresses returns at most maxAddresses addresses, sorted. If there are more, callers
+// of each failure domain get a different selection: with one selection for all, the VMs left
+// out would get no callers at all. A domain's selection changes only with the VMs that join
+// or leave, since callers close connections to addresses that are no longer returned.
 func selectAddresses(all []string, domain string) []string {
 	if len(all) > maxAddresses {
 		slices.SortFunc(all, func(a, b string) int {
--- a/internal/vm/addresses_test.go
+++ b/internal/vm/addresses_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Eighty-two VMs are ready and an answer names sixty-four. If all callers were told of the
-// same ones, eighteen VMs would stand idle while the others turn callers away.
+// Guards against VMs that no caller is sent to. 82 VMs are ready and an answer names 64. With
+// the same selection for all callers, 18 VMs would be idle while the others refuse requests.
 func TestEveryVMIsNamedToCallersOfSomeDomain(t *testing.T) {
 	var all []string
 	for i := range 82 {
@@ -24,7 +24,7 @@
 			named[address]++
 		}
 		without := selectAddresses(slices.DeleteFunc(slices.Clone(all), func(a string) bool { return a == selected[0] }), domain)
-		require.Subset(t, without, selected[1:], "callers keep their other connections")
+		require.Subset(t, without, selected[1:], "removing one address must not change the rest of the selection")
 	}
 	require.Greater(t, len(named), 80)
 	require.Len(t, selectAddresses(all[:7], "a"), 7)
--- a/internal/vm/cluster_test.go
+++ b/internal/vm/cluster_test.go
@@ -28,7 +28,7 @@
 	testWait = 15 * time.Second
 )
 
-// cluster is VMs before stand-ins of the platform.
+// cluster is a set of VMs with stand-ins for the store and the replicas of the platform.
 type cluster struct {
 	t        *testing.T
 	store    *standin.Store
@@ -39,16 +39,16 @@
 	ids      atomic.Int64
 }
 
-// testVM is one process with its own way to the store.
+// testVM is one process with its own connection to the store.
 type testVM struct {
 	*Process
-	// turnedAway makes the store turn this VM away.
-	turnedAway atomic.Bool
-	stop       func()
+	// storeRefuses makes the store refuse the calls of this VM.
+	storeRefuses atomic.Bool
+	stop         func()
 }
 
-// newCluster starts the store and the replicas. Services are named by the part of a
-// replica's ID before the dash.
+// newCluster starts the store and the replicas. The part of a replica's ID before the dash
+// names its service.
 func newCluster(t *testing.T, replicas ...*standin.Replica) *cluster {
 	c := &cluster{t: t, store: standin.NewStore(), replicas: make(map[string]*standin.Replica), servers: make(map[string]*httptest.Server)}
 	c.configure(nil)
@@ -62,14 +62,14 @@
 	server := httptest.NewServer(r)
 	c.t.Cleanup(server.Close)
 	c.replicas[r.ID], c.servers[r.ID] = r, server
-	c.describe(r.ID, "ready")
+	c.setReplicaState(r.ID, "ready")
 }
 
-func (c *cluster) describe(id, state string) { c.describeAs(id, state, "m0") }
+func (c *cluster) setReplicaState(id, state string) { c.putReplica(id, state, "m0") }
 
-func (c *cluster) describeModels(id string, models ...string) { c.describeAs(id, "ready", models...) }
+func (c *cluster) describeModels(id string, models ...string) { c.putReplica(id, "ready", models...) }
 
-func (c *cluster) describeAs(id, state string, models ...string) {
+func (c *cluster) putReplica(id, state string, models ...string) {
 	service, _, _ := strings.Cut(id, "-")
 	held := []any{}
 	for _, m := range models {
@@ -81,7 +81,7 @@
 	})
 }
 
-// configure writes a configuration, changed by edit.
+// configure writes a new version of the configuration, modified by edit.
 func (c *cluster) configure(edit func(map[string]any)) {
 	c.version++
 	config := standin.Manifest{
@@ -94,7 +94,7 @@
 	c.store.Put("op/config", config)
 }
 
-// start adds a VM.
+// start starts a VM and waits until it is ready.
 func (c *cluster) start(name string) *testVM { return c.startIn(name, "a") }
 
 func (c *cluster) startIn(name, domain string) *testVM {
@@ -104,18 +104,19 @@
 // vmSpec describes a VM to start.
 type vmSpec struct {
 	name, domain string
-	// link carries the store's answers to the VM; nil for loopback as it is.
+	// link carries the store's answers to the VM; nil for plain loopback.
 	link *link
-	// linkMbps is the bandwidth that the VM's settings name, in Mbit/s.
+	// linkMbps is the bandwidth in the VM's settings, in Mbit/s.
 	linkMbps float64
-	// inForce is the time in which a configuration has to be in force; zero for two seconds.
-	inForce time.Duration
+	// configurationDeadline is the time in which a configuration has to be in force; zero
+	// means two seconds.
+	configurationDeadline time.Duration
 }
 
 func (c *cluster) startAs(spec vmSpec) *testVM {
 	v := &testVM{}
 	store := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if v.turnedAway.Load() {
+		if v.storeRefuses.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -124,17 +125,17 @@
 	c.t.Cleanup(store.Close)
 	storeAddress := store.Listener.Addr().String()
 	if spec.link != nil {
-		storeAddress = spec.link.to(storeAddress)
+		storeAddress = spec.link.proxy(storeAddress)
 	}
-	if spec.inForce == 0 {
-		spec.inForce = 2 * time.Second
+	if spec.configurationDeadline == 0 {
+		spec.configurationDeadline = 2 * time.Second
 	}
 	first := freePorts(c.t, 6)
 	s := &platform.Settings{
 		VM: spec.name, FailureDomain: spec.domain, LinkMbps: spec.linkMbps, IP: "127.0.0.1", FirstPort: first[0], LastPort: first[1],
 		Callers: loopback(first[2]), Readiness: loopback(first[3]), Directory: loopback(first[4]), Domains: 1,
 		Bounds: platform.Bounds{
-			OrderLease: 500 * time.Millisecond, Configuration: spec.inForce, Grace: 1800 * time.Millisecond, Draining: 2 * time.Second,
+			OrderLease: 500 * time.Millisecond, Configuration: spec.configurationDeadline, Grace: 1800 * time.Millisecond, Draining: 2 * time.Second,
 			AddressLifetime: 5 * time.Second, RetryRatio: 0.2, RetrySlack: 50, RetryWindow: 10 * time.Second,
 			RateSlack: 100000, RateExcess: 0.1, RateWindow: 8 * time.Second,
 		},
@@ -181,7 +182,7 @@
 	require.Eventually(c.t, condition, testWait, 5*time.Millisecond)
 }
 
-// waitLeader waits until a VM may give orders and knows the engines.
+// waitLeader waits until a VM may send orders and has read an engine, and returns it.
 func (c *cluster) waitLeader() *testVM {
 	c.t.Helper()
 	var leader *testVM
@@ -197,7 +198,7 @@
 	return leader
 }
 
-// call is a request of a caller.
+// call is a caller's request.
 type call struct {
 	method, path, model, body string
 	header                    map[string]string
@@ -207,7 +208,7 @@
 	status int
 	header http.Header
 	body   string
-	// err is what the caller sees if the answer breaks off.
+	// err is the caller's error if the answer breaks off.
 	err error
 }
 
@@ -236,7 +237,8 @@
 	return answer{status: response.StatusCode, header: response.Header, body: string(body), err: err}
 }
 
-// askAgain asks until the answer is no refusal that says when to come back.
+// askAgain repeats a request until the answer has no Retry-After header, waiting as long as
+// the header says.
 func (c *cluster) askAgain(v *testVM, q call) answer {
 	c.t.Helper()
 	var got answer
--- a/internal/vm/newer_test.go
+++ b/internal/vm/configuration_lag_test.go
@@ -10,8 +10,9 @@
 	"github.com/chestnutarch/chestnutarch/platform/standin"
 )
 
-// A VM hears of a configuration but cannot get it. Callers on a route that was just added
-// were told that it does not exist, and callers were sent to this VM for as long as it ran.
+// A VM learns that a newer configuration exists but cannot get it. Callers on a route that
+// was just added were told that it does not exist, and callers were sent to this VM for as
+// long as it ran.
 func TestVMThatLacksAConfigurationDoesNotDenyRoutes(t *testing.T) {
 	c := newCluster(t, standin.NewReplica("clerk-1", 0))
 	v := c.start("vm-1")
@@ -19,45 +20,45 @@
 	require.Equal(t, http.StatusNotFound, c.ask(v, unknown).status)
 
 	newer := v.configuration().Revision + 1
-	v.newer.heard(newer, time.Now())
-	require.True(t, v.ready(), "it may still come in time")
+	v.configurationLag.peerHas(newer, time.Now())
+	require.True(t, v.ready(), "the VM stays ready while the configuration may still arrive in time")
 	got := c.ask(v, unknown)
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.NotEmpty(t, got.header.Get("Retry-After"))
 	withKey := call{method: "GET", path: "/look/", header: map[string]string{"Authorization": "Token added"}}
 	require.Equal(t, http.StatusServiceUnavailable, c.ask(v, withKey).status)
-	require.Equal(t, http.StatusOK, c.ask(v, call{method: "GET", path: "/look/"}).status, "a route that it knows")
+	require.Equal(t, http.StatusOK, c.ask(v, call{method: "GET", path: "/look/"}).status, "a known route must be served")
 
-	v.newer = newerConfiguration{own: newer - 1}
-	v.newer.heard(newer, time.Now().Add(-v.settings.Bounds.Configuration-time.Second))
+	v.configurationLag = configurationLag{applied: newer - 1}
+	v.configurationLag.peerHas(newer, time.Now().Add(-v.settings.Bounds.Configuration-time.Second))
 	require.False(t, v.ready())
 	c.configure(nil)
 	c.eventually(func() bool { return v.ready() })
 	require.Equal(t, http.StatusNotFound, c.ask(v, unknown).status)
 }
 
-// Configurations follow each other more quickly than they come in force. A VM that is always
-// one behind for a moment must not count as one that has been behind all the while.
+// Configurations follow each other faster than they come in force. A VM that is always one
+// behind for a moment must not count as having been behind all the time.
 func TestVMThatKeepsUpIsNotBehind(t *testing.T) {
-	var n newerConfiguration
+	var lag configurationLag
 	now := time.Now()
 	for revision := range int64(100) {
-		n.heard(revision+2, now)
-		n.applied(revision+1, now)
+		lag.peerHas(revision+2, now)
+		lag.apply(revision+1, now)
 		now = now.Add(100 * time.Millisecond)
-		require.LessOrEqual(t, n.behind(now), 100*time.Millisecond)
+		require.LessOrEqual(t, lag.behind(now), 100*time.Millisecond)
 	}
-	n.applied(200, now)
-	require.Zero(t, n.behind(now))
+	lag.apply(200, now)
+	require.Zero(t, lag.behind(now))
 }
 
-// A report names a configuration that this VM has put in force a moment before. Taken for a
-// newer one, it would take the VM out of service until the next change.
+// A report names a configuration that this VM has put in force a moment before. If it counted
+// as newer, the VM would be out of service until the next change.
 func TestConfigurationThatIsInForceIsNotNewer(t *testing.T) {
-	var n newerConfiguration
+	var lag configurationLag
 	now := time.Now()
-	n.applied(7, now)
-	n.heard(7, now)
-	n.heard(5, now)
-	require.Zero(t, n.behind(now.Add(time.Minute)))
+	lag.apply(7, now)
+	lag.peerHas(7, now)
+	lag.peerHas(5, now)
+	require.Zero(t, lag.behind(now.Add(time.Minute)))
 }
--- a/internal/vm/departures.go
+++ b/internal/vm/departures.go
@@ -9,60 +9,61 @@
 )
 
 const (
-	// departureLifetime is how long an incarnation that left is remembered: longer
-	// than an instance serves after it has left.
-	departureLifetime = 30 * time.Second
-	// revivingWrites is how many new entries make an incarnation that was gone count
-	// again. A single one may be a heartbeat that was held up; a living instance
-	// writes on.
-	revivingWrites = 2
+	// departureRetention is how long an incarnation that left is remembered: longer than an
+	// instance goes on serving after it has left.
+	departureRetention = 30 * time.Second
+	// minWritesToReadmit is the number of new entries after which an incarnation that was
+	// gone is used again. A single one may be a delayed heartbeat; a live instance keeps
+	// writing.
+	minWritesToReadmit = 2
 )
 
-// departures remembers incarnations that were seen draining or gone. A draining one
-// never comes back. One whose entry was removed may only have been cut off from the
-// store, and counts again once it writes on.
+// departures remembers incarnations that were seen draining or gone. A draining one never
+// comes back. One whose entry was removed may only have been cut off from the store, and is
+// used again once it keeps writing.
 type departures struct {
-	mu   sync.Mutex
-	seen map[string]*departure
+	mu            sync.Mutex
+	byIncarnation map[string]*departure
 }
 
 type departure struct {
-	at       time.Time
+	recorded time.Time
 	draining bool
-	// writes counts the entries seen since, the newest with this revision.
+	// writes is the number of entries seen since the departure, revision that of the newest
+	// one.
 	writes   int
 	revision int64
 }
 
-func newDepartures() *departures { return &departures{seen: make(map[string]*departure)} }
+func newDepartures() *departures { return &departures{byIncarnation: make(map[string]*departure)} }
 
 func incarnationOf(i *upstream.Instance) string {
 	return i.ID + "@" + strconv.FormatInt(i.Born, 10) + "@" + i.Address
 }
 
-// left notes that an incarnation is draining or gone.
+// record notes that an incarnation is draining or gone.
 func (d *departures) left(name string, draining bool, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if old := d.seen[name]; old != nil {
+	if old := d.byIncarnation[name]; old != nil {
 		old.draining = old.draining || draining
 		return
 	}
-	d.seen[name] = &departure{at: now, draining: draining}
-	for n, e := range d.seen {
-		if now.Sub(e.at) > departureLifetime {
-			delete(d.seen, n)
+	d.byIncarnation[name] = &departure{recorded: now, draining: draining}
+	for n, e := range d.byIncarnation {
+		if now.Sub(e.recorded) > departureRetention {
+			delete(d.byIncarnation, n)
 		}
 	}
 }
 
-// barred reports whether an incarnation must get no work although its entry says
-// that it is ready. away says that the store was away just now, so that leases may
-// have lapsed of instances that live.
-func (d *departures) barred(name string, revision int64, away bool) bool {
+// excluded reports whether an incarnation must get no work although its entry says that it is
+// ready. storeDown says that the store was unavailable a moment ago, so that leases of live
+// instances may have lapsed.
+func (d *departures) barred(name string, revision int64, storeDown bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	e := d.seen[name]
+	e := d.byIncarnation[name]
 	if e == nil {
 		return false
 	}
@@ -73,19 +74,19 @@
 		e.revision = revision
 		e.writes++
 	}
-	if away || e.writes >= revivingWrites {
-		delete(d.seen, name)
+	if storeDown || e.writes >= minWritesToReadmit {
+		delete(d.byIncarnation, name)
 		return false
 	}
 	return true
 }
 
-// names returns the incarnations that get no work.
+// names returns the incarnations that are remembered as draining or gone.
 func (d *departures) names() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out := make([]string, 0, len(d.seen))
-	for n := range d.seen {
+	out := make([]string, 0, len(d.byIncarnation))
+	for n := range d.byIncarnation {
 		out = append(out, n)
 	}
 	return out
--- a/internal/vm/departures_test.go
+++ b/internal/vm/departures_test.go
@@ -7,20 +7,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An instance says that it leaves, and a heartbeat from before that arrives late at the
-// store. Its entry says ready again; requests sent there would be cut when it exits.
+// An instance is draining, and a heartbeat sent before that arrives late at the store. Its
+// entry says ready again; requests sent there would be cut off when the instance exits.
 func TestLateHeartbeatDoesNotReviveADrainingInstance(t *testing.T) {
 	d, now := newDepartures(), time.Now()
 	d.left("i@1", true, now)
 	for revision := range int64(5) {
 		require.True(t, d.barred("i@1", 10+revision, true))
 	}
-	require.False(t, d.barred("i@2", 10, false), "another incarnation")
+	require.False(t, d.barred("i@2", 10, false), "another incarnation must not be excluded")
 }
 
-// An instance is cut off from the store for a while and its entry goes. When it is back
-// it writes on, and it has to count again: it would be lost for good otherwise. A single
-// entry may be a heartbeat that was held up.
+// An instance is cut off from the store for a while and its entry is removed. When it keeps
+// writing afterwards it has to be used again, or it would be lost for good. A single entry
+// may be a delayed heartbeat.
 func TestInstanceThatWritesOnCountsAgain(t *testing.T) {
 	d, now := newDepartures(), time.Now()
 	d.left("i@1", false, now)
@@ -29,7 +29,7 @@
 	require.False(t, d.barred("i@1", 11, false))
 }
 
-// The store was away and leases ran out meanwhile. What comes back lives.
+// Leases ran out while the store was unavailable. Instances whose entries come back are live.
 func TestEntriesThatLapsedInAnOutageComeBackAtOnce(t *testing.T) {
 	d, now := newDepartures(), time.Now()
 	d.left("i@1", false, now)
--- a/internal/vm/doc.go
+++ b/internal/vm/doc.go
@@ -1,4 +1,4 @@
-// Package vm assembles the process that runs on every entry VM of the platform. It
-// follows the store, knows the other VMs, serves callers through package traffic,
-// answers where to connect, and, on the VM that leads, gives orders to engines.
+// Package vm assembles the process that runs on every entry VM of the platform. It watches
+// the store, exchanges reports with the other VMs, serves callers through package traffic,
+// answers requests for entry addresses, and, on the leader, sends orders to engines.
 package vm
--- a/internal/vm/exchange.go
+++ b/internal/vm/exchange.go
@@ -17,62 +17,64 @@
 	"github.com/chestnutarch/chestnutarch/platform"
 )
 
-// announce makes the next exchange come at once.
+// exchangeNow triggers an exchange with all partners without waiting for the next tick.
 func (f *fleet) announce() {
 	select {
-	case f.now <- struct{}{}:
+	case f.exchangeSignal <- struct{}{}:
 	default:
 	}
 }
 
 // run exchanges reports until ctx ends.
 func (f *fleet) run(ctx context.Context) error {
-	ticker := time.NewTicker(exchangeEvery)
+	ticker := time.NewTicker(exchangeInterval)
 	defer ticker.Stop()
 	for {
-		everyone := false
+		all := false
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-f.now:
-			everyone = true
+		case <-f.exchangeSignal:
+			all = true
 		case <-ticker.C:
 		}
-		for _, vm := range f.due(everyone) {
+		for _, vm := range f.startDueExchanges(all) {
 			go f.exchange(ctx, vm)
 		}
 	}
 }
 
-// due names the VMs to exchange with. Of two partners one calls, so that each pair
-// exchanges once; the other one calls too when it hears nothing.
-func (f *fleet) due(everyone bool) []string {
+// startDueExchanges marks the exchanges that are due as started and returns the names of
+// their VMs. Of two partners only one initiates, so that each pair exchanges once; the other
+// one initiates too when it receives no reports.
+func (f *fleet) startDueExchanges(all bool) []string {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.forget(now)
-	f.noteRoster(now)
+	f.expireMembers(now)
+	f.updateRoster(now)
 	var out []string
 	for _, partner := range f.plan.Partners {
 		m := f.members[partner.Name]
-		if m == nil || m.calling || (!everyone && !f.dueWith(partner, m, now)) {
+		if m == nil || m.exchanging || (!all && !f.exchangeDue(partner, m, now)) {
 			continue
 		}
-		m.calling, m.called = true, now
+		m.exchanging, m.lastExchange = true, now
 		out = append(out, partner.Name)
 	}
 	return out
 }
 
-// dueWith reports whether it is time for an exchange with a partner. A standby only has to be
-// known to be there, unless the hub fails. It must be called with the lock held.
-func (f *fleet) dueWith(partner topology.Partner, m *member, now time.Time) bool {
+// exchangeDue reports whether it is time for an exchange with a partner. With a standby an
+// exchange only checks that it is reachable, unless the hub fails. It must be called with the
+// lock held.
+func (f *fleet) exchangeDue(partner topology.Partner, m *member, now time.Time) bool {
 	if partner.Weight == 0 {
 		hub := f.members[f.plan.Hub()]
-		return hub == nil || hub.failures > 0 || now.Sub(m.called) >= standbyEvery
+		return hub == nil || hub.failedExchanges > 0 || now.Sub(m.lastExchange) >= standbyInterval
 	}
-	quiet := now.Sub(later(m.heard, m.started)) > unheardAfter/2
-	return partner.Call || quiet
+	overdue := now.Sub(later(m.lastReport, m.firstSeen)) > peerTimeout/2
+	return partner.Call || overdue
 }
 
 func (f *fleet) exchange(ctx context.Context, vm string) {
@@ -83,67 +85,68 @@
 		return
 	}
 	var answer *peerpb.VMReport
-	report := f.report(vm)
-	err := f.p.pool.Call(ctx, m.Peers, exchangeTimeout, func(ctx context.Context, conn grpc.ClientConnInterface) (err error) {
+	report := f.buildReport(vm)
+	err := f.process.pool.Call(ctx, m.Peers, exchangeTimeout, func(ctx context.Context, conn grpc.ClientConnInterface) (err error) {
 		answer, err = peerpb.NewVMsClient(conn).Exchange(ctx, report)
 		return err
 	})
 	f.mu.Lock()
-	m.calling = false
-	m.failures++
+	m.exchanging = false
+	m.failedExchanges++
 	if err == nil {
-		m.failures = 0
+		m.failedExchanges = 0
 	}
 	f.mu.Unlock()
 	if err != nil {
-		f.p.planner.contents.forget(vm)
+		f.process.planner.contents.forget(vm)
 		return
 	}
-	f.take(ctx, answer)
+	f.applyReport(ctx, answer)
 }
 
-// fetchConfiguration reads a newer configuration from another VM. The store may
-// turn this VM away while others have learnt of a key that was withdrawn. Every report that
-// names a newer one calls this, and all of them at once would take the link from each other.
+// fetchConfiguration reads a newer configuration from another VM: the store may refuse this
+// VM while others have already received the withdrawal of a key. Every report that names a
+// newer configuration calls this. Only one fetch runs at a time, since concurrent ones would
+// compete for the bandwidth of the link.
 func (f *fleet) fetchConfiguration(ctx context.Context, address string) {
-	if !f.fetching.CompareAndSwap(false, true) {
+	if !f.fetchingConfiguration.CompareAndSwap(false, true) {
 		return
 	}
-	defer f.fetching.Store(false)
-	held := f.p.configuration()
+	defer f.fetchingConfiguration.Store(false)
+	held := f.process.configuration()
 	answer := &peerpb.ConfigurationResponse{}
-	_, err := f.p.pool.Receive(ctx, address, exchangeTimeout, func(ctx context.Context, conn grpc.ClientConnInterface) (peer.Pieces, error) {
+	_, err := f.process.pool.Receive(ctx, address, exchangeTimeout, func(ctx context.Context, conn grpc.ClientConnInterface) (peer.Pieces, error) {
 		return peerpb.NewVMsClient(conn).Configuration(ctx, &peerpb.ConfigurationRequest{HaveRevision: held.Revision})
 	}, answer)
 	if err != nil || answer.Item == nil {
 		return
 	}
-	value, err := valueOf(answer.Item, held)
+	value, err := decodeItem(answer.Item, held)
 	if err != nil {
-		f.p.log.Warn().Str("event", "configuration_not_taken").Str("peers", address).AnErr("cause", err).Send()
+		f.process.log.Warn().Str("event", "configuration_not_taken").Str("peers", address).AnErr("cause", err).Send()
 		return
 	}
-	f.p.configure(store.Item{Key: platform.ConfigurationKey, Revision: answer.Item.Revision, Value: value})
+	f.process.applyConfiguration(store.Item{Key: platform.ConfigurationKey, Revision: answer.Item.Revision, Value: value})
 }
 
-// vmServer answers other VMs.
+// vmServer implements the RPCs that other VMs call.
 type vmServer struct {
 	peerpb.UnimplementedVMsServer
-	p *Process
+	process *Process
 }
 
 // Exchange implements peerpb.VMsServer.
 func (s *vmServer) Exchange(ctx context.Context, in *peerpb.VMReport) (*peerpb.VMReport, error) {
-	s.p.fleet.take(ctx, in)
-	return s.p.fleet.report(in.Vm), nil
+	s.process.fleet.applyReport(ctx, in)
+	return s.process.fleet.buildReport(in.Vm), nil
 }
 
 // Configuration implements peerpb.VMsServer.
 func (s *vmServer) Configuration(in *peerpb.ConfigurationRequest, out grpc.ServerStreamingServer[peerpb.Piece]) error {
 	return peer.SendPieces(out, func() (proto.Message, error) {
 		answer := &peerpb.ConfigurationResponse{}
-		if c := s.p.configuration(); c.Revision > in.HaveRevision {
-			answer.Item = s.p.tracker.values.item(c, in.HaveRevision)
+		if c := s.process.configuration(); c.Revision > in.HaveRevision {
+			answer.Item = s.process.tracker.values.itemFor(c, in.HaveRevision)
 		}
 		return answer, nil
 	})
@@ -152,7 +155,7 @@
 // Follow implements peerpb.VMsServer.
 func (s *vmServer) Follow(in *peerpb.FollowRequest, out grpc.ServerStreamingServer[peerpb.Piece]) error {
 	return peer.SendPieces(out, func() (proto.Message, error) {
-		answer, err := s.p.tracker.tell(out.Context(), s.p.fleet.incarnation, in)
+		answer, err := s.process.tracker.answerFollow(out.Context(), s.process.fleet.incarnation, in)
 		if errors.Is(err, ErrNotWatching) {
 			return nil, status.Error(codes.FailedPrecondition, err.Error())
 		}
@@ -162,7 +165,7 @@
 
 // EnsureAdapter implements peerpb.VMsServer.
 func (s *vmServer) EnsureAdapter(ctx context.Context, in *peerpb.EnsureAdapterRequest) (*peerpb.EnsureAdapterResponse, error) {
-	instance, err := s.p.planner.ensure(ctx, in.Service, in.Model, in.Adapter)
+	instance, err := s.process.planner.ensure(ctx, in.Service, in.Model, in.Adapter)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/vm/fleet.go
+++ b/internal/vm/fleet.go
@@ -17,35 +17,38 @@
 )
 
 const (
-	// vmPrefix is followed by a VM's ID.
+	// vmPrefix is the prefix of registration keys; a VM's ID follows.
 	vmPrefix = ownPrefix + "vms/"
-	// vmLease is how long a VM that died stays registered. VMs that all start again at once
-	// learn from these entries how many they are, before the others have registered anew.
-	vmLease = 6 * time.Second
-	// renewEvery is how often the registration is renewed: two may be lost. Renewals are
-	// most of what a large fleet asks of the store.
-	renewEvery = 1800 * time.Millisecond
-	// exchangeEvery is how often a VM exchanges reports with each other one. Rates
-	// and the choice of engines work on what is this old.
-	exchangeEvery = 250 * time.Millisecond
-	// standbyEvery is how often a VM exchanges reports with those that would take its hub's
-	// place.
-	standbyEvery = time.Second
+	// registrationLease is how long a VM that died stays registered. When all VMs restart at
+	// once, they learn the size of the fleet from these entries before the others have
+	// registered again.
+	registrationLease = 6 * time.Second
+	// renewInterval is how often the registration's lease is renewed: two renewals may be
+	// lost. Renewals are most of a large fleet's load on the store.
+	renewInterval = 1800 * time.Millisecond
+	// exchangeInterval is how often a VM exchanges reports with each partner. Rate limits and
+	// the choice of engines work on data of this age.
+	exchangeInterval = 250 * time.Millisecond
+	// standbyInterval is how often a VM exchanges reports with its standbys, the VMs that
+	// would replace its hub.
+	standbyInterval = time.Second
 	// exchangeTimeout bounds one exchange.
 	exchangeTimeout = 700 * time.Millisecond
-	// unheardAfter is how long a VM may be silent before callers are no longer sent
-	// to it, and before the other side starts exchanges too.
-	unheardAfter = 1500 * time.Millisecond
-	// forgetAfter is how long a VM that is neither registered nor heard counts.
-	forgetAfter = 5 * time.Second
-	// addressLifetime is how long callers may keep an address answer. They ask again
-	// that often; a VM that dies costs a connection attempt until then.
+	// peerTimeout is how long no report of a VM may arrive before callers are no longer sent
+	// to it. After half of it, the partner that usually waits for exchanges starts them too,
+	// and a hub no longer counts the VM as taking callers.
+	peerTimeout = 1500 * time.Millisecond
+	// removalTimeout is how long a VM that is neither registered nor heard from stays a
+	// member.
+	removalTimeout = 5 * time.Second
+	// addressLifetime is how long callers may cache an address answer. They ask again at this
+	// interval; until then, a VM that has died costs them a failed connection attempt.
 	addressLifetime = 2 * time.Second
-	// maxAddresses bounds an address answer.
+	// maxAddresses bounds the number of addresses in an answer.
 	maxAddresses = 64
 )
 
-// registration is the value of a VM's key.
+// registration is the value of a VM's key in the store.
 type registration struct {
 	Incarnation int64  `json:"incarnation"`
 	Callers     string `json:"callers"`
@@ -55,58 +58,60 @@
 	LinkMbps float64 `json:"link_mbps,omitempty"`
 }
 
-// fleet knows the other VMs.
+// fleet tracks the other VMs and exchanges reports with them.
 type fleet struct {
-	p           *Process
-	incarnation int64
-	sequence    atomic.Uint64
-	now         chan struct{}
-	// fetching says that a configuration is being read from another VM.
-	fetching atomic.Bool
+	process        *Process
+	incarnation    int64
+	sequence       atomic.Uint64
+	exchangeSignal chan struct{}
+	// fetchingConfiguration is set while a configuration is read from another VM.
+	fetchingConfiguration atomic.Bool
 
-	sums *sums
-	sent *sendings
+	aggregator *aggregator
+	notifier   *dispatchNotifier
 
-	// taking serializes the taking in of reports.
-	taking sync.Mutex
+	// reportMu serializes the processing of received reports.
+	reportMu sync.Mutex
 
 	mu      sync.Mutex
 	members map[string]*member
-	// vouched names the VMs of which a hub says that they take callers, by hub: two may say so
-	// for a while. It outlives what is known of a VM, which may start anew unnoticed by its
-	// hub, or become known later than the hub says so: the hub says it once.
-	vouched map[string]map[string]bool
+	// rosters holds, by hub, the VMs that the hub lists as taking callers; two hubs may list
+	// the same VM for a while. Entries are kept independently of members, since a hub lists a
+	// VM only once: the VM may restart unnoticed by its hub, or become a member only after it
+	// was listed.
+	rosters map[string]map[string]bool
 	plan    *topology.Plan
-	// rearrange says that the members have changed since the plan was made.
-	rearrange bool
+	// planOutdated is set when the members have changed since the plan was made.
+	planOutdated bool
 }
 
-// member is another VM.
+// member is the state of another VM.
 type member struct {
 	registration
 	registered bool
-	// revision is the store's of the registration. A VM that has started anew may be known
-	// from its own report before that.
+	// revision is the store revision of the registration. A VM that has restarted may be
+	// known from its own report before its new registration arrives.
 	revision int64
-	// heard is when its last report came, started when it was first known.
-	heard, started time.Time
-	sequence       uint64
-	ready          bool
-	calling        bool
-	// called is when the last exchange with it began.
-	called time.Time
-	// failures counts the exchanges in a row that failed.
-	failures int
-	// silent says that it cannot serve as a hub.
-	silent bool
-	// leads says that it gives orders to engines.
+	// lastReport is when its last report arrived, firstSeen when it became known.
+	lastReport, firstSeen time.Time
+	sequence              uint64
+	ready                 bool
+	exchanging            bool
+	// lastExchange is when the last exchange with it began.
+	lastExchange time.Time
+	// failedExchanges is the number of consecutive failed exchanges.
+	failedExchanges int
+	// unavailableAsHub is set if it cannot serve as a hub.
+	unavailableAsHub bool
+	// leads is set if it sends orders to engines.
 	leads bool
-	// taken is what was taken in of its reports, acknowledged what it has taken in of ours.
-	taken, acknowledged progress
+	// applied is the position up to which its reports were applied here, acknowledged the
+	// position up to which it has applied reports of this VM.
+	applied, acknowledged progress
 }
 
-// progress is how much of a VM's reports another one has taken in. It begins anew when the
-// scope of the reports changes.
+// progress is the position up to which one VM has applied another VM's reports. It restarts
+// when the scope of the reports changes.
 type progress struct {
 	scope   topology.Scope
 	version uint64
@@ -114,76 +119,76 @@
 
 func newFleet(p *Process) *fleet {
 	started := time.Now().UnixNano()
-	f := &fleet{p: p, incarnation: started, sums: newSums(started), members: make(map[string]*member), vouched: make(map[string]map[string]bool), now: make(chan struct{}, 1)}
-	f.sent = newSendings(f)
-	p.assigner.OnPlace(f.sent.note)
-	peerpb.RegisterVMsServer(p.peerServer.Registrar(), &vmServer{p: p})
+	f := &fleet{process: p, incarnation: started, aggregator: newAggregator(started), members: make(map[string]*member), rosters: make(map[string]map[string]bool), exchangeSignal: make(chan struct{}, 1)}
+	f.notifier = newDispatchNotifier(f)
+	p.assigner.OnPlace(f.notifier.notify)
+	peerpb.RegisterVMsServer(p.peerServer.Registrar(), &vmServer{process: p})
 	return f
 }
 
-// size is how many VMs share limits, this one included.
+// size returns the number of VMs that share limits, this one included.
 func (f *fleet) size() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.members) + 1
 }
 
-// register keeps this VM's key in the store.
+// register keeps this VM's registration in the store until ctx ends, then revokes it.
 func (f *fleet) register(ctx context.Context) error {
 	var lease store.LeaseID
 	failures := 0
 	for ctx.Err() == nil {
 		if lease == 0 {
-			lease = f.enroll(ctx)
-		} else if err := f.p.store.Renew(ctx, lease); errors.Is(err, store.ErrLeaseGone) {
+			lease = f.createRegistration(ctx)
+		} else if err := f.process.store.Renew(ctx, lease); errors.Is(err, store.ErrLeaseGone) {
 			lease = 0
 			continue
 		}
 		if lease == 0 {
-			sleep(ctx, f.p.tracker.retryAfter(failures))
+			sleep(ctx, f.process.tracker.retryAfter(failures))
 			failures++
 			continue
 		}
 		failures = 0
-		sleep(ctx, renewEvery)
+		sleep(ctx, renewInterval)
 	}
 	if lease != 0 {
-		_ = f.p.store.Revoke(context.WithoutCancel(ctx), lease)
+		_ = f.process.store.Revoke(context.WithoutCancel(ctx), lease)
 	}
 	return nil
 }
 
-func (f *fleet) enroll(ctx context.Context) store.LeaseID {
+func (f *fleet) createRegistration(ctx context.Context) store.LeaseID {
 	value, err := json.Marshal(registration{
-		Incarnation: f.incarnation, Callers: f.p.settings.Callers, Peers: f.p.peerAddress(), Domain: f.p.settings.FailureDomain,
-		LinkMbps: f.p.settings.LinkMbps,
+		Incarnation: f.incarnation, Callers: f.process.settings.Callers, Peers: f.process.peerAddress(), Domain: f.process.settings.FailureDomain,
+		LinkMbps: f.process.settings.LinkMbps,
 	})
 	if err != nil {
 		return 0
 	}
-	lease, _, err := f.p.store.Grant(ctx, max(vmLease, f.p.settings.Store.LeaseMin))
+	lease, _, err := f.process.store.Grant(ctx, max(registrationLease, f.process.settings.Store.LeaseMin))
 	if err != nil {
 		return 0
 	}
-	_, err = f.p.store.Commit(ctx, store.Change{Puts: []store.Put{{Key: vmPrefix + f.p.settings.VM, Value: value, Lease: lease}}})
+	_, err = f.process.store.Commit(ctx, store.Change{Puts: []store.Put{{Key: vmPrefix + f.process.settings.VM, Value: value, Lease: lease}}})
 	if err != nil {
 		return 0
 	}
 	return lease
 }
 
-// observe takes the keys of this project.
-func (f *fleet) observe(own map[string]store.Item) {
+// updateRegistrations applies the registrations among the keys of this project.
+func (f *fleet) updateRegistrations(own map[string]store.Item) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	var fresh []string
+	var added []string
 	for _, m := range f.members {
 		m.registered = false
 	}
 	for key, item := range own {
 		vm, ok := strings.CutPrefix(key, vmPrefix)
-		if !ok || vm == "" || vm == f.p.settings.VM {
+		if !ok || vm == "" || vm == f.process.settings.VM {
 			continue
 		}
 		var r registration
@@ -196,61 +201,62 @@
 			continue
 		}
 		if m == nil || m.Incarnation != r.Incarnation {
-			m = &member{started: now, ready: true}
-			f.p.planner.contents.forget(vm)
+			m = &member{firstSeen: now, ready: true}
+			f.process.planner.contents.forget(vm)
 			f.members[vm] = m
-			fresh = append(fresh, vm)
+			added = append(added, vm)
 		}
 		m.registration, m.registered, m.revision = r, true, item.Revision
-		f.rearrange = true
+		f.planOutdated = true
 	}
-	f.logKnown(fresh)
-	f.forget(now)
+	f.logNewMembers(added)
+	f.expireMembers(now)
 }
 
-// logEach is how many VMs that become known at once get a line each.
-const logEach = 8
+// maxIndividualLogs is the number of VMs becoming known at once up to which each gets its own
+// log line.
+const maxIndividualLogs = 8
 
-// logKnown logs the VMs that have become known: of hundreds that start together, their number.
-// It must be called with the lock held.
-func (f *fleet) logKnown(vms []string) {
-	if len(vms) > logEach {
-		f.p.log.Info().Str("event", "vms_known").Int("count", len(vms)).Send()
+// logNewMembers logs the VMs that have become known; if there are many, as when hundreds
+// start together, only their number. It must be called with the lock held.
+func (f *fleet) logNewMembers(vms []string) {
+	if len(vms) > maxIndividualLogs {
+		f.process.log.Info().Str("event", "vms_known").Int("count", len(vms)).Send()
 		return
 	}
 	for _, vm := range vms {
-		f.p.log.Info().Str("event", "vm_known").Str("peer", vm).Str("peers", f.members[vm].Peers).Send()
+		f.process.log.Info().Str("event", "vm_known").Str("peer", vm).Str("peers", f.members[vm].Peers).Send()
 	}
 }
 
-// forget drops the VMs that are neither registered nor heard of, and works out the
-// partners anew. It must be called with the lock held.
-func (f *fleet) forget(now time.Time) {
+// expireMembers removes the members that are neither registered nor heard from, and updates
+// the plan. It must be called with the lock held.
+func (f *fleet) expireMembers(now time.Time) {
 	for vm, m := range f.members {
-		if !m.registered && now.Sub(f.lastSign(vm, m)) > forgetAfter {
+		if !m.registered && now.Sub(f.lastSeen(vm, m)) > removalTimeout {
 			delete(f.members, vm)
-			f.rearrange = true
-			f.p.log.Info().Str("event", "vm_forgotten").Str("peer", vm).Send()
+			f.planOutdated = true
+			f.process.log.Info().Str("event", "vm_forgotten").Str("peer", vm).Send()
 		}
 	}
-	f.arrange(now)
+	f.updatePlan(now)
 }
 
-// arrange works out with whom to exchange, if anything has changed that this depends on. It
-// must be called with the lock held.
-func (f *fleet) arrange(now time.Time) {
+// updatePlan recomputes the partners for exchanges if anything that they depend on has
+// changed. It must be called with the lock held.
+func (f *fleet) updatePlan(now time.Time) {
 	for _, m := range f.members {
-		if silent := m.silentHub(now); silent != m.silent {
-			m.silent, f.rearrange = silent, true
+		if unavailable := m.hubUnavailable(now); unavailable != m.unavailableAsHub {
+			m.unavailableAsHub, f.planOutdated = unavailable, true
 		}
 	}
-	if f.plan != nil && !f.rearrange {
+	if f.plan != nil && !f.planOutdated {
 		return
 	}
-	f.rearrange = false
+	f.planOutdated = false
 	others := make([]topology.VM, 0, len(f.members))
 	for vm, m := range f.members {
-		others = append(others, topology.VM{Name: vm, Domain: m.Domain, Capacity: m.LinkMbps, Silent: m.silent})
+		others = append(others, topology.VM{Name: vm, Domain: m.Domain, Capacity: m.LinkMbps, Silent: m.unavailableAsHub})
 	}
 	f.plan = topology.New(f.selfVM(), others)
 	weights := make(map[string]int, len(f.plan.Partners))
@@ -261,49 +267,50 @@
 	}
 	for vm, m := range f.members {
 		if weights[vm] == 0 {
-			// What it tells is not counted, and what it told is forgotten.
-			m.taken = progress{}
+			// Its reports no longer count, and what they reported before is discarded.
+			m.applied = progress{}
 		}
 	}
 	hubs := f.plan.OtherHubs()
 	if !f.plan.IsHub() {
 		hubs = []string{f.plan.Hub()}
 	}
-	for hub := range f.vouched {
+	for hub := range f.rosters {
 		if slices.Contains(hubs, hub) {
 			continue
 		}
-		delete(f.vouched, hub)
+		delete(f.rosters, hub)
 		if m := f.members[hub]; m != nil {
-			m.taken = progress{}
+			m.applied = progress{}
 		}
 	}
-	f.p.limiter.SetPeers(weights, now)
-	f.p.assigner.SetVMs(len(others) + 1)
+	f.process.limiter.SetPeers(weights, now)
+	f.process.assigner.SetVMs(len(others) + 1)
 }
 
 func (f *fleet) selfVM() topology.VM {
-	return topology.VM{Name: f.p.settings.VM, Domain: f.p.settings.FailureDomain, Capacity: f.p.settings.LinkMbps}
+	return topology.VM{Name: f.process.settings.VM, Domain: f.process.settings.FailureDomain, Capacity: f.process.settings.LinkMbps}
 }
 
-// silentHub reports whether the VM cannot serve as a hub: its process is known to be gone,
-// or exchanges with it have failed for a while.
-func (m *member) silentHub(now time.Time) bool {
-	return !m.registered || (m.failures >= hubFailures && now.Sub(m.heard) > hubSilence)
+// hubUnavailable reports whether the VM cannot serve as a hub: it is no longer registered, or
+// exchanges with it have failed for a while.
+func (m *member) hubUnavailable(now time.Time) bool {
+	return !m.registered || (m.failedExchanges >= hubFailureThreshold && now.Sub(m.lastReport) > hubSilenceTimeout)
 }
 
 const (
-	// hubFailures is how many exchanges with a hub fail in a row before the next VM takes
-	// its place, and hubSilence how long it has not been heard by then.
-	hubFailures = 1
-	hubSilence  = 600 * time.Millisecond
+	// hubFailureThreshold is the number of consecutive failed exchanges with a hub, and
+	// hubSilenceTimeout the time since its last report, after which the next VM replaces it.
+	hubFailureThreshold = 1
+	hubSilenceTimeout   = 600 * time.Millisecond
 )
 
-// otherHubs is how many hubs of other domains a VM turns to when its own one fails it.
-const otherHubs = 2
+// maxFallbackHubs is the number of hubs of other failure domains that a VM may follow when
+// its own hub fails.
+const maxFallbackHubs = 2
 
-// hubs returns the addresses of the VMs through which this one follows the store, the first
-// one first; none if this VM watches the store itself.
+// hubs returns the addresses of the VMs through which this one follows the store, in order of
+// preference; none if this VM watches the store itself.
 func (f *fleet) hubs() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -312,7 +319,7 @@
 	}
 	others := f.plan.OtherHubs()
 	var out []string
-	for _, vm := range append([]string{f.plan.Hub()}, others[:min(otherHubs, len(others))]...) {
+	for _, vm := range append([]string{f.plan.Hub()}, others[:min(maxFallbackHubs, len(others))]...) {
 		if m := f.members[vm]; m != nil {
 			out = append(out, m.Peers)
 		}
@@ -320,36 +327,37 @@
 	return out
 }
 
-// mayLead reports whether this VM stands for election: the hubs do, or all VMs of a small
-// fleet. If all of many VMs did, each vacancy would cost three calls of the store a VM.
-func (f *fleet) mayLead() bool {
+// eligibleToLead reports whether this VM stands for election: hubs do, or all VMs of a small
+// fleet. If all VMs of a large fleet did, each vacancy would cost three store calls per VM.
+func (f *fleet) eligibleToLead() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.plan != nil && f.plan.Hub() == ""
 }
 
-// lastSign returns when a VM was last known to live: heard itself, or through the hub that
-// vouches for it. It must be called with the lock held.
-func (f *fleet) lastSign(vm string, m *member) time.Time {
-	return later(later(m.heard, m.started), f.vouchedAt(vm))
+// lastSeen returns when a VM was last known to be alive, from its own reports or from a hub
+// that lists it. It must be called with the lock held.
+func (f *fleet) lastSeen(vm string, m *member) time.Time {
+	return later(later(m.lastReport, m.firstSeen), f.rosterTime(vm))
 }
 
-// vouchedAt returns when a hub that vouches for a VM was last heard, zero if none does. It
-// must be called with the lock held.
-func (f *fleet) vouchedAt(vm string) time.Time {
+// rosterTime returns when the last report of a hub that lists a VM arrived, zero if no hub
+// does. It must be called with the lock held.
+func (f *fleet) rosterTime(vm string) time.Time {
 	at := time.Time{}
-	for hub, vms := range f.vouched {
+	for hub, vms := range f.rosters {
 		if m := f.members[hub]; m != nil && vms[vm] {
-			at = later(at, m.heard)
+			at = later(at, m.lastReport)
 		}
 	}
 	return at
 }
 
-// takesCallers reports whether callers may be sent to a VM: a hub says so, or it said so itself
-// within some time. It must be called with the lock held.
-func (f *fleet) takesCallers(vm string, m *member, sign time.Time, within time.Duration, now time.Time) bool {
-	return now.Sub(f.vouchedAt(vm)) < within || (m.ready && now.Sub(sign) < within)
+// takesCallers reports whether callers may be sent to a VM: a hub that lists it was heard
+// from within a time, or it has said so itself and was last seen within that time. It must be
+// called with the lock held.
+func (f *fleet) takesCallers(vm string, m *member, seen time.Time, within time.Duration, now time.Time) bool {
+	return now.Sub(f.rosterTime(vm)) < within || (m.ready && now.Sub(seen) < within)
 }
 
 func later(a, b time.Time) time.Time {
@@ -359,7 +367,7 @@
 	return b
 }
 
-// peerOf returns the address of another VM.
+// peerAddressOf returns the address for peers of another VM.
 func (f *fleet) peerOf(vm string) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -15,56 +15,56 @@
 	"github.com/chestnutarch/chestnutarch/internal/store"
 )
 
-// In a large fleet only the hubs watch the store; the others follow their hub's view. A VM
-// whose hub cannot be reached, or hears nothing from the store itself, follows the hub of
-// another domain until that has passed, and watches the store if none serves it.
+// In a large fleet only the hubs watch the store; the other VMs follow the view of their hub.
+// A VM whose hub is unreachable, or has lost the store itself, follows the hub of another
+// failure domain until its own recovers, and watches the store if no hub serves it.
 
 var (
-	// ErrNotWatching means that a VM does not watch the store itself, so that nobody can
-	// follow it.
+	// ErrNotWatching means that a VM does not watch the store itself, so that it cannot be
+	// followed.
 	ErrNotWatching = errors.New("vm: this VM does not watch the store")
-	// ErrHubStale means that a hub has not heard the store for too long.
-	ErrHubStale = errors.New("vm: the hub does not hear the store")
+	// ErrHubStale means that the view of a hub is too old to be followed.
+	ErrHubStale = errors.New("vm: the hub's view of the store is too old")
 )
 
 const (
-	// followWait is how long a hub waits for a change before it answers all the same, and
-	// followPause the time between an answer and the next question. Together with
-	// followTimeout, the longest silence of a hub before and in an answer, they bound how
-	// long a silent hub goes unnoticed.
+	// followWait is how long a hub waits for a change before it answers without one,
+	// followPause the time between an answer and the next request. Together with
+	// followTimeout, the longest time without data from a hub before and within an answer,
+	// they bound the time until a silent hub is noticed.
 	followWait    = 300 * time.Millisecond
 	followPause   = 150 * time.Millisecond
 	followTimeout = 800 * time.Millisecond
-	// avoidFirst and avoidMost bound how long a VM does without a hub that has failed it. The
-	// time doubles with every failure in a row: when the hub is cut off from the store, each
-	// return to it costs a reading of everything.
-	avoidFirst = 3 * time.Second
-	avoidMost  = 12 * time.Second
-	// staleShare is the divisor of the time in which a configuration has to be in force
-	// that gives the largest age of a hub's view: the rest is for noticing it and for
-	// reading the store.
+	// hubBackoffMin and hubBackoffMax bound how long a VM does not use a hub that has failed.
+	// The time doubles with every consecutive failure: while the hub is cut off from the
+	// store, each return to it costs a transfer of the whole view.
+	hubBackoffMin = 3 * time.Second
+	hubBackoffMax = 12 * time.Second
+	// staleDivisor divides the time in which a configuration has to be in force, which gives
+	// the largest age at which a hub's view is followed. The rest is for detecting a stale
+	// hub and reading the store.
 	staleShare = 2
-	// hubPauseShare is the same for the pause between two watches of a hub, which has to
-	// be well below that age.
+	// hubPauseDivisor divides the same time, which gives the pause between two watches of a
+	// hub. The pause has to be well below the largest age.
 	hubPauseShare = 8
 )
 
-// relay is how a tracker reaches hubs.
+// hubClient is a tracker's access to hubs.
 type relay struct {
-	// hubs returns the addresses of the VMs to follow, the first one first; none if this VM
-	// has to watch the store.
+	// hubs returns the addresses of the hubs to follow, in order of preference; none if this
+	// VM has to watch the store.
 	hubs func() []string
-	// ask returns a hub's answer, and how long ago it began to arrive.
-	ask func(ctx context.Context, address string, in *peerpb.FollowRequest) (answer *peerpb.FollowResponse, took time.Duration, err error)
+	// follow returns a hub's answer and the time since its first byte arrived.
+	follow func(ctx context.Context, address string, in *peerpb.FollowRequest) (answer *peerpb.FollowResponse, took time.Duration, err error)
 }
 
-// avoidance is for how long a hub is not followed, and until when.
+// hubBackoff is how long a hub that has failed is not followed, and until when.
 type avoidance struct {
-	time  time.Duration
-	until time.Time
+	duration time.Duration
+	until    time.Time
 }
 
-// mayFollow returns the hub to follow now.
+// usableHub returns the first hub that is not in backoff.
 func (t *tracker) mayFollow(now time.Time) (address string, ok bool) {
 	hubs := t.relay.hubs()
 	t.mu.Lock()
@@ -77,8 +77,9 @@
 	return "", false
 }
 
-// alone reports whether this VM watches the store since all its hubs have failed it.
-func (t *tracker) alone() bool {
+// allHubsFailed reports whether this VM has hubs to follow, and watches the store since all
+// of them are in backoff.
+func (t *tracker) allHubsFailed() bool {
 	if len(t.relay.hubs()) == 0 {
 		return false
 	}
@@ -86,29 +87,29 @@
 	return !follows
 }
 
-// followsHub reports whether this VM learns of the store through a hub.
+// followsHub reports whether this VM receives its view of the store from a hub.
 func (t *tracker) followsHub() bool { return t.following.Load() }
 
-// followHub takes the view of a hub over until that fails or this VM has none to follow. It
-// turns to a hub that comes before the one that it follows as soon as it may.
+// followHub applies the view of a hub until that fails or this VM has no hub to follow. It
+// switches to a hub of higher preference as soon as that is out of backoff.
 func (t *tracker) followHub(ctx context.Context, address string) {
 	t.setWatching(false)
 	t.following.Store(true)
 	defer t.following.Store(false)
 	in := &peerpb.FollowRequest{}
 	for ctx.Err() == nil {
-		in.Held = t.held()
-		answer, took, err := t.relay.ask(ctx, address, in)
-		taken := false
+		in.Held = t.heldRevisions()
+		answer, took, err := t.relay.follow(ctx, address, in)
+		applied := false
 		if err == nil {
-			taken, err = t.takeView(answer, time.Now().Add(-took))
+			applied, err = t.applyHubView(answer, time.Now().Add(-took))
 		}
 		if err != nil {
-			t.leaveHub(address, err)
+			t.backOffHub(address, err)
 			return
 		}
-		if taken {
-			t.forgive(address)
+		if applied {
+			t.resetHubBackoff(address)
 			in = &peerpb.FollowRequest{Incarnation: answer.Incarnation, Change: answer.Change}
 		}
 		sleep(ctx, followPause)
@@ -122,18 +123,18 @@
 	}
 }
 
-// takeView takes in a hub's answer that began to arrive at now. It returns false if the hub's view is older than this
-// VM's own, and ErrHubStale if it is too old to follow.
-func (t *tracker) takeView(answer *peerpb.FollowResponse, now time.Time) (taken bool, err error) {
+// applyHubView applies a hub's answer that began to arrive at now. It returns false if the
+// hub's view is older than this VM's own, and ErrHubStale if it is too old to follow.
+func (t *tracker) applyHubView(answer *peerpb.FollowResponse, now time.Time) (applied bool, err error) {
 	age := time.Duration(answer.AgeMs) * time.Millisecond
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if age > t.stale {
-		return false, errors.Wrapf(ErrHubStale, "for %v", age)
+		return false, errors.Wrapf(ErrHubStale, "view is %v old", age)
 	}
 	if answer.Revision < t.view.revision {
 		if now.Sub(t.fresh) > t.stale {
-			return false, errors.Wrapf(ErrHubStale, "at revision %d, %d is known", answer.Revision, t.view.revision)
+			return false, errors.Wrapf(ErrHubStale, "hub is at revision %d, this VM at revision %d", answer.Revision, t.view.revision)
 		}
 		return false, nil
 	}
@@ -147,8 +148,8 @@
 	return true, nil
 }
 
-// held returns the revisions of the large values of the view, by key.
-func (t *tracker) held() map[string]int64 {
+// heldRevisions returns the revisions of the large values in the view, by key.
+func (t *tracker) heldRevisions() map[string]int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make(map[string]int64)
@@ -160,7 +161,7 @@
 	return out
 }
 
-// merge puts what a hub tells into the view. It must be called with the lock held.
+// merge merges a hub's answer into the view. It must be called with the lock held.
 func (t *tracker) merge(answer *peerpb.FollowResponse, now time.Time) error {
 	if !answer.Whole && len(answer.Items) == 0 && len(answer.Removed) == 0 {
 		t.view.revision = answer.Revision
@@ -171,7 +172,7 @@
 		next = maps.Clone(t.view.items)
 	}
 	for _, i := range answer.Items {
-		value, err := valueOf(i, t.view.items[i.Key])
+		value, err := decodeItem(i, t.view.items[i.Key])
 		if err != nil {
 			return err
 		}
@@ -185,23 +186,23 @@
 	return nil
 }
 
-// leaveHub makes this VM do without a hub for a while.
-func (t *tracker) leaveHub(address string, err error) {
+// backOffHub excludes a hub that has failed from use for a while.
+func (t *tracker) backOffHub(address string, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for hub, a := range t.avoided {
-		if time.Since(a.until) > avoidMost {
+		if time.Since(a.until) > hubBackoffMax {
 			delete(t.avoided, hub)
 		}
 	}
-	pause := min(max(avoidFirst, 2*t.avoided[address].time), avoidMost)
-	t.avoided[address] = avoidance{time: pause, until: time.Now().Add(pause)}
+	pause := min(max(hubBackoffMin, 2*t.avoided[address].duration), hubBackoffMax)
+	t.avoided[address] = avoidance{duration: pause, until: time.Now().Add(pause)}
 	t.log.Warn().Str("event", "hub_lost").Str("peers", address).AnErr("cause", err).Dur("age_ms", time.Since(t.fresh)).
 		Dur("avoided_ms", pause).Send()
 }
 
-// forgive makes the next failure of a hub count as its first.
-func (t *tracker) forgive(address string) {
+// resetHubBackoff makes the next failure of a hub count as its first.
+func (t *tracker) resetHubBackoff(address string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.avoided, address)
@@ -213,25 +214,26 @@
 	t.watching = watching
 }
 
-// tell answers a VM that follows this one.
-func (t *tracker) tell(ctx context.Context, incarnation int64, in *peerpb.FollowRequest) (*peerpb.FollowResponse, error) {
+// answerFollow answers the request of a VM that follows this one.
+func (t *tracker) answerFollow(ctx context.Context, incarnation int64, in *peerpb.FollowRequest) (*peerpb.FollowResponse, error) {
 	since := in.Change
 	if in.Incarnation != incarnation {
 		since = 0
 	}
 	t.awaitChange(ctx, since)
-	out, items, err := t.news(incarnation, since)
+	out, items, err := t.changesSince(incarnation, since)
 	if err != nil {
 		return nil, err
 	}
 	for _, item := range items {
-		out.Items = append(out.Items, t.values.item(item, in.Held[item.Key]))
+		out.Items = append(out.Items, t.values.itemFor(item, in.Held[item.Key]))
 	}
 	return out, nil
 }
 
-// news returns what has changed in the view, with the items apart.
-func (t *tracker) news(incarnation, since int64) (*peerpb.FollowResponse, []store.Item, error) {
+// changesSince returns the changes of the view since a change number, with the changed items
+// apart from the message.
+func (t *tracker) changesSince(incarnation, since int64) (*peerpb.FollowResponse, []store.Item, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.watching {
@@ -257,25 +259,25 @@
 	return out, items, nil
 }
 
-// awaitChange returns when the view has changed since, or after followWait.
+// awaitChange returns when the view has changed since a change number, or after followWait.
 func (t *tracker) awaitChange(ctx context.Context, since int64) {
 	t.mu.Lock()
-	fresh, waits := t.changes.fresh, t.watching && since == t.changes.number
+	nextChange, upToDate := t.changes.nextChange, t.watching && since == t.changes.number
 	t.mu.Unlock()
-	if !waits {
+	if !upToDate {
 		return
 	}
 	timer := time.NewTimer(followWait)
 	defer timer.Stop()
 	select {
-	case <-fresh:
+	case <-nextChange:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// askHub asks a hub for what has changed in its view.
-func (p *Process) askHub(ctx context.Context, address string, in *peerpb.FollowRequest) (*peerpb.FollowResponse, time.Duration, error) {
+// callHub requests the changes of a hub's view.
+func (p *Process) callHub(ctx context.Context, address string, in *peerpb.FollowRequest) (*peerpb.FollowResponse, time.Duration, error) {
 	answer := &peerpb.FollowResponse{}
 	took, err := p.pool.Receive(ctx, address, followTimeout, func(ctx context.Context, conn grpc.ClientConnInterface) (peer.Pieces, error) {
 		return peerpb.NewVMsClient(conn).Follow(ctx, in)
--- a/internal/vm/follow_test.go
+++ b/internal/vm/follow_test.go
@@ -17,8 +17,8 @@
 	"github.com/chestnutarch/chestnutarch/platform/standin"
 )
 
-// followers counts the VMs that do not watch the store themselves.
-func (c *cluster) followers() int {
+// nonWatchingVMs counts the VMs that do not watch the store themselves.
+func (c *cluster) nonWatchingVMs() int {
 	n := 0
 	for _, v := range c.vms {
 		v.tracker.mu.Lock()
@@ -30,35 +30,35 @@
 	return n
 }
 
-// Fourteen VMs that all watched the store would cost fourteen waiting calls. One of each
-// failure domain watches, and the others learn of a new configuration and of a replica that
-// leaves through it. Then the store turns the hub away, and the VMs behind it would go on
-// with what they know: a key that is withdrawn meanwhile has to stop working there all the
-// same, first through the other domain's hub, and without any hub once that is turned away
-// too.
+// Fourteen VMs that all watch the store would cost fourteen waiting calls. One VM of each
+// failure domain watches, and the others learn of a new configuration and of a draining
+// replica through it. Then the store refuses one hub, and the VMs behind it must not go on
+// with an old view: a key that is withdrawn meanwhile has to stop working there too, first
+// through the other failure domain's hub, and without any hub once the store refuses that one
+// as well.
 func TestVMsFollowTheirHubAndDoWithoutIt(t *testing.T) {
 	c := newCluster(t, standin.NewReplica("clerk-1", 0), standin.NewReplica("clerk-2", 0))
 	for i := range pauseFleet + 2 {
 		c.startIn(fmt.Sprintf("vm-%02d", i), fmt.Sprint(i%2))
 	}
-	c.eventually(func() bool { return c.followers() == pauseFleet })
+	c.eventually(func() bool { return c.nonWatchingVMs() == pauseFleet })
 	c.configure(nil)
-	c.describe("clerk-2", "draining")
+	c.setReplicaState("clerk-2", "draining")
 	for _, v := range c.vms {
 		c.eventually(func() bool { return v.core.Catalog().Version == int64(c.version) })
 		c.eventually(func() bool { return v.instance("clerk-2").Draining })
 	}
-	c.vms[0].turnedAway.Store(true)
+	c.vms[0].storeRefuses.Store(true)
 	behind := c.vms[2:]
-	c.eventually(func() bool { return c.avoiding(behind, c.vms[0]) == pauseFleet/2 })
-	c.withdrawKeys("another")
-	c.vms[1].turnedAway.Store(true)
-	c.eventually(func() bool { return c.followers() < pauseFleet-2 })
-	c.withdrawKeys("a third")
+	c.eventually(func() bool { return c.backingOff(behind, c.vms[0]) == pauseFleet/2 })
+	c.replaceKeys("another")
+	c.vms[1].storeRefuses.Store(true)
+	c.eventually(func() bool { return c.nonWatchingVMs() < pauseFleet-2 })
+	c.replaceKeys("a third")
 }
 
-// withdrawKeys gives the team another key, and returns once all VMs have that in force.
-func (c *cluster) withdrawKeys(key string) {
+// replaceKeys gives the team another key, and returns once it is in force at all VMs.
+func (c *cluster) replaceKeys(key string) {
 	c.configure(func(config map[string]any) {
 		config["tenants"].([]any)[0].(map[string]any)["keys"] = []string{key}
 	})
@@ -67,23 +67,23 @@
 	}
 }
 
-// avoiding counts the VMs that do without a hub, but not alone.
-func (c *cluster) avoiding(vms []*testVM, hub *testVM) int {
+// backingOff counts the VMs that have a hub in backoff but can still use another one.
+func (c *cluster) backingOff(vms []*testVM, hub *testVM) int {
 	n := 0
 	for _, v := range vms {
 		v.tracker.mu.Lock()
 		a := v.tracker.avoided[hub.peerAddress()]
 		v.tracker.mu.Unlock()
-		if time.Now().Before(a.until) && !v.tracker.alone() {
+		if time.Now().Before(a.until) && !v.tracker.allHubsFailed() {
 			n++
 		}
 	}
 	return n
 }
 
-// TestFollowerSeesWhatTheHubSees plays changes of a hub's view: whatever is written and
-// removed, and however many changes a follower misses, its view is the hub's after it has
-// asked once more.
+// TestFollowerSeesWhatTheHubSees applies random changes to a hub's view: whatever is written
+// and removed, and however many changes a follower misses, its view equals the hub's after
+// its next request.
 func TestFollowerSeesWhatTheHubSees(t *testing.T) {
 	noWait, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -103,20 +103,20 @@
 				value := bytes.Repeat([]byte(fmt.Sprint(revision)), rapid.SampledFrom([]int{1, 1, 1, 1, 1, patch.MinBytes}).Draw(t, "size"))
 				items[key] = store.Item{Key: key, Value: value, Revision: revision}
 			}
-			hub.replace(items, revision)
+			hub.replaceView(items, revision)
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
 				in = &peerpb.FollowRequest{Incarnation: 1, Change: 3}
 			}
 			if rapid.Bool().Draw(t, "misses") {
 				continue
 			}
-			in.Held = follower.held()
-			answer, err := hub.tell(noWait, 7, in)
+			in.Held = follower.heldRevisions()
+			answer, err := hub.answerFollow(noWait, 7, in)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if taken, err := follower.takeView(answer, time.Now()); err != nil || !taken {
-				t.Fatal(taken, err)
+			if applied, err := follower.applyHubView(answer, time.Now()); err != nil || !applied {
+				t.Fatal(applied, err)
 			}
 			in = &peerpb.FollowRequest{Incarnation: answer.Incarnation, Change: answer.Change}
 			require.Equal(t, hub.view, follower.view)
@@ -124,23 +124,24 @@
 	})
 }
 
-// A hub that hears nothing from the store answers as fast as ever. Its followers must not
-// take its old view for the present one.
+// A hub that has lost the store answers as fast as before. Its followers must not use its old
+// view as the current one.
 func TestStaleHubIsNotFollowed(t *testing.T) {
 	f := testTracker()
-	_, err := f.takeView(&peerpb.FollowResponse{Revision: 9, AgeMs: f.stale.Milliseconds() + 1, FailedMs: -1}, time.Now())
+	_, err := f.applyHubView(&peerpb.FollowResponse{Revision: 9, AgeMs: f.stale.Milliseconds() + 1, FailedMs: -1}, time.Now())
 	require.ErrorIs(t, err, ErrHubStale)
 }
 
-// A large answer takes longer over a narrow link than a hub's view may be old. Thrown away
-// when it is complete, it would be asked for again and again; it is just not as fresh.
+// Over a narrow link a large answer takes longer than the largest age of a hub's view. If it
+// were discarded on completion, it would be requested again and again; it only counts as less
+// fresh.
 func TestAnswerThatTookLongIsTaken(t *testing.T) {
 	f := testTracker()
 	ctx, cancel := context.WithCancel(t.Context())
 	took := 2 * f.stale
 	f.relay = relay{
 		hubs: func() []string { return []string{"hub"} },
-		ask: func(context.Context, string, *peerpb.FollowRequest) (*peerpb.FollowResponse, time.Duration, error) {
+		follow: func(context.Context, string, *peerpb.FollowRequest) (*peerpb.FollowResponse, time.Duration, error) {
 			cancel()
 			return &peerpb.FollowResponse{Revision: 9, Whole: true, FailedMs: -1}, took, nil
 		},
@@ -148,52 +149,53 @@
 	f.followHub(ctx, "hub")
 	require.Equal(t, int64(9), f.at())
 	require.GreaterOrEqual(t, f.age(), took)
-	require.False(t, f.alone())
+	require.False(t, f.allHubsFailed())
 }
 
-// The hub of a domain dies, or the store turns it away. Fifty VMs that read the store
-// themselves from then on would cost it more than all hubs do in a minute; the other domains'
-// hubs know as much. When none of them serves, the VM has to watch the store after all.
+// The hub of a failure domain dies, or the store refuses it. If fifty VMs then read the store
+// themselves, that would cost the store more than all hubs do in a minute; the hubs of other
+// failure domains have the same view. If none of them serves, the VM has to watch the store
+// after all.
 func TestVMWhoseHubFailsFollowsAnotherDomains(t *testing.T) {
 	f := testTracker()
 	f.relay = relay{hubs: func() []string { return []string{"own", "far"} }}
 	now := time.Now()
-	first := func(at time.Time) string {
+	firstUsable := func(at time.Time) string {
 		hub, _ := f.mayFollow(at)
 		return hub
 	}
-	require.Equal(t, "own", first(now))
-	f.leaveHub("own", ErrHubStale)
-	require.Equal(t, "far", first(now))
-	require.False(t, f.alone())
-	f.leaveHub("far", ErrHubStale)
-	require.Empty(t, first(now))
-	require.True(t, f.alone())
-	back := now.Add(avoidFirst + time.Second)
-	require.Equal(t, "own", first(back))
-	f.leaveHub("own", ErrHubStale)
-	require.Equal(t, "far", first(back), "the second failure in a row counts for longer")
-	f.forgive("own")
-	require.Equal(t, "own", first(now))
+	require.Equal(t, "own", firstUsable(now))
+	f.backOffHub("own", ErrHubStale)
+	require.Equal(t, "far", firstUsable(now))
+	require.False(t, f.allHubsFailed())
+	f.backOffHub("far", ErrHubStale)
+	require.Empty(t, firstUsable(now))
+	require.True(t, f.allHubsFailed())
+	afterBackoff := now.Add(hubBackoffMin + time.Second)
+	require.Equal(t, "own", firstUsable(afterBackoff))
+	f.backOffHub("own", ErrHubStale)
+	require.Equal(t, "far", firstUsable(afterBackoff), "the second consecutive failure must double the backoff")
+	f.resetHubBackoff("own")
+	require.Equal(t, "own", firstUsable(now))
 }
 
-// deafStore answers nothing.
-type deafStore struct{ store.Store }
+// unavailableStore answers no call.
+type unavailableStore struct{ store.Store }
 
-func (deafStore) Range(context.Context, string) (store.Listing, error) {
+func (unavailableStore) Range(context.Context, string) (store.Listing, error) {
 	return store.Listing{}, store.ErrUnknown
 }
 
-// The store is silent for all VMs, so that hubs cannot be followed either. When they hear it
-// again and this VM does not, it must not go on asking the store alone: it would route by what
-// was known before the outage for as long as the store turns it away.
+// The store is unavailable to all VMs, so that hubs cannot be followed either. When the hubs
+// reach it again and this VM does not, the VM must not keep retrying the store alone: it
+// would route by its view of before the outage for as long as the store refuses it.
 func TestVMThatTheStoreTurnsAwayReturnsToItsHub(t *testing.T) {
 	f := testTracker()
-	f.store = deafStore{}
+	f.store = unavailableStore{}
 	ctx, cancel := context.WithCancel(t.Context())
 	f.relay = relay{
 		hubs: func() []string { return []string{"hub"} },
-		ask: func(context.Context, string, *peerpb.FollowRequest) (*peerpb.FollowResponse, time.Duration, error) {
+		follow: func(context.Context, string, *peerpb.FollowRequest) (*peerpb.FollowResponse, time.Duration, error) {
 			cancel()
 			return &peerpb.FollowResponse{Revision: 9, Whole: true, FailedMs: -1}, 0, nil
 		},
@@ -202,8 +204,8 @@
 	require.Equal(t, int64(9), f.at())
 }
 
-// The store turns away a third of three hundred VMs for nine seconds. Each of them asked it
-// again seven times a second, which the store had to answer.
+// The store refuses a third of three hundred VMs for nine seconds. Each of them retried seven
+// times a second, and the store had to answer every retry.
 func TestRetriesOfALargeFleetGrowRarer(t *testing.T) {
 	f := testTracker()
 	require.Equal(t, retryPause, f.retryAfter(0))
@@ -212,34 +214,34 @@
 	require.Equal(t, retryPause, f.retryAfter(9))
 }
 
-// A VM has read the store itself when it returns to its hub, which has not seen as much yet.
-// What the VM knows must not be undone: a replica that left would get requests again.
+// A VM has read the store itself when it returns to its hub, whose view is older. Its own
+// view must not go back: a replica that left would get requests again.
 func TestHubThatLagsBehindUndoesNothing(t *testing.T) {
 	f, now := testTracker(), time.Now()
-	f.replace(map[string]store.Item{"a": {Key: "a", Revision: 9}}, 9)
+	f.replaceView(map[string]store.Item{"a": {Key: "a", Revision: 9}}, 9)
 	behind := &peerpb.FollowResponse{Revision: 8, Whole: true, FailedMs: -1}
-	taken, err := f.takeView(behind, now)
+	applied, err := f.applyHubView(behind, now)
 	require.NoError(t, err)
-	require.False(t, taken)
+	require.False(t, applied)
 	require.Contains(t, f.view.items, "a")
-	_, err = f.takeView(behind, now.Add(f.stale+time.Second))
-	require.ErrorIs(t, err, ErrHubStale, "it does not catch up")
+	_, err = f.applyHubView(behind, now.Add(f.stale+time.Second))
+	require.ErrorIs(t, err, ErrHubStale, "a hub that does not catch up must not be followed")
 }
 
-// Entries lapse while the store is away, though their replicas live. A follower learns from
-// its hub that the store was away, or it would take each replica that writes again for one
-// that had left.
+// Leases lapse while the store is unavailable, though the replicas live. A follower learns
+// from its hub that the store was unavailable. Otherwise it would treat each replica that
+// writes again as one that had left.
 func TestFollowerKnowsThatTheStoreWasAway(t *testing.T) {
 	f, now := testTracker(), time.Now()
 	require.False(t, f.awayWithin(now, revivalTime))
-	_, err := f.takeView(&peerpb.FollowResponse{Revision: 1, FailedMs: 1000}, now)
+	_, err := f.applyHubView(&peerpb.FollowResponse{Revision: 1, FailedMs: 1000}, now)
 	require.NoError(t, err)
 	require.True(t, f.awayWithin(now, revivalTime))
 }
 
 func TestVMThatFollowsIsNotFollowed(t *testing.T) {
 	f := testTracker()
-	_, err := f.tell(t.Context(), 7, &peerpb.FollowRequest{})
+	_, err := f.answerFollow(t.Context(), 7, &peerpb.FollowRequest{})
 	require.ErrorIs(t, err, ErrNotWatching)
 }
 
@@ -247,8 +249,8 @@
 	return newTracker(nil, zerolog.Nop(), func(view) {}, func() int { return 60 }, 3*time.Second, relay{})
 }
 
-// replace makes items the view.
-func (t *tracker) replace(items map[string]store.Item, revision int64) {
+// replaceView replaces the items of the view.
+func (t *tracker) replaceView(items map[string]store.Item, revision int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	next := make(map[string]store.Item, len(items))
--- a/internal/vm/gauges.go
+++ b/internal/vm/gauges.go
@@ -11,58 +11,57 @@
 	"github.com/chestnutarch/chestnutarch/platform"
 )
 
-// measureEvery is how often gauges are read: the pace at which metrics are fetched is
-// a few seconds.
-const measureEvery = 2 * time.Second
+// gaugeInterval is how often gauges are updated. Metrics are scraped every few seconds.
+const gaugeInterval = 2 * time.Second
 
-// measure keeps the gauges up to date until ctx ends.
-func (p *Process) measure(ctx context.Context) error {
+// updateGauges keeps the gauges up to date until ctx ends.
+func (p *Process) updateGauges(ctx context.Context) error {
 	for ctx.Err() == nil {
-		p.gauge("requests.pending", p.ingress.Pending())
-		p.gauge("upstreams.age_ms", p.tracker.age().Milliseconds())
-		p.gauge("upstreams.known", int64(len(*p.instances.Load())))
-		p.gauge("vms.known", int64(p.fleet.size()))
-		p.gauge("upstreams.connections_opened", p.replicas.Pool.Dials())
-		p.gauge("configuration.revision", p.configuration().Revision)
-		p.gauge("configuration.behind_ms", p.newer.behind(time.Now()).Milliseconds())
-		p.gauge("leadership.leads", boolean(p.candidate.Leads()))
-		p.gaugeLoads()
-		sleep(ctx, measureEvery)
+		p.setGauge("requests.pending", p.ingress.Pending())
+		p.setGauge("upstreams.age_ms", p.tracker.age().Milliseconds())
+		p.setGauge("upstreams.known", int64(len(*p.instances.Load())))
+		p.setGauge("vms.known", int64(p.fleet.size()))
+		p.setGauge("upstreams.connections_opened", p.replicas.Pool.Dials())
+		p.setGauge("configuration.revision", p.configuration().Revision)
+		p.setGauge("configuration.behind_ms", p.configurationLag.behind(time.Now()).Milliseconds())
+		p.setGauge("leadership.leads", boolToInt(p.candidate.Leads()))
+		p.updateLoadGauges()
+		sleep(ctx, gaugeInterval)
 	}
 	return nil
 }
 
-func (p *Process) gaugeLoads() {
+func (p *Process) updateLoadGauges() {
 	requests, prefill, kv := 0, 0, 0
 	for _, l := range p.assigner.Loads() {
 		requests += l.Requests
 		prefill += l.PrefillTokens
 		kv += l.KVTokens
 	}
-	p.gauge("upstreams.requests_in_flight", int64(requests))
-	p.gauge("upstreams.prompt_tokens_waiting", int64(prefill))
-	p.gauge("upstreams.kv_tokens_in_use", int64(kv))
+	p.setGauge("upstreams.requests_in_flight", int64(requests))
+	p.setGauge("upstreams.prompt_tokens_waiting", int64(prefill))
+	p.setGauge("upstreams.kv_tokens_in_use", int64(kv))
 }
 
-func (p *Process) gauge(name string, value int64) {
+func (p *Process) setGauge(name string, value int64) {
 	metrics.GetOrRegisterGauge(name, p.metrics).Update(value)
 }
 
-func (p *Process) counter(name string) { p.add(name, 1) }
+func (p *Process) counter(name string) { p.addToCounter(name, 1) }
 
-func (p *Process) add(name string, by int64) {
+func (p *Process) addToCounter(name string, by int64) {
 	metrics.GetOrRegisterCounter(name, p.metrics).Inc(by)
 }
 
-func boolean(b bool) int64 {
+func boolToInt(b bool) int64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// countStoreCall counts the calls of the store by name and outcome, and the bytes of their
-// answers, those of answers that broke off included.
+// countStoreCall counts store calls by name and outcome, and the bytes received in their
+// answers, including answers that were cut off.
 func (p *Process) countStoreCall(call platform.StoreCall) {
 	outcome := "ok"
 	switch {
@@ -74,5 +73,5 @@
 		outcome = "refused"
 	}
 	p.counter("store_calls." + call.Name + "." + outcome)
-	p.add("store_calls."+call.Name+".received_bytes", call.Received)
+	p.addToCounter("store_calls."+call.Name+".received_bytes", call.Received)
 }
--- a/internal/vm/large_configuration_test.go
+++ b/internal/vm/large_configuration_test.go
@@ -14,12 +14,12 @@
 	"github.com/chestnutarch/chestnutarch/platform"
 )
 
-// largestValue is the largest value that the store takes, in bytes, less the rest of a
-// configuration.
+// largestValue is the largest value that the store accepts, in bytes, less the size of the
+// rest of a configuration.
 const largestValue = 1<<20 - 8<<10
 
-// keysUpTo returns random keys, which compress badly, of so many bytes as JSON.
-func keysUpTo(bytes int, seed uint64) []string {
+// randomKeys returns random keys, which compress badly, of a total size in bytes as JSON.
+func randomKeys(bytes int, seed uint64) []string {
 	const each = 1 << 10
 	r := rand.New(rand.NewPCG(1, seed))
 	keys := []string{testKey}
@@ -33,79 +33,80 @@
 	return keys
 }
 
-// enlarge returns a change that makes a configuration as large as the store takes, divided by
-// a scale.
-func enlarge(scale int, seed uint64) func(map[string]any) {
+// enlargeKeys returns an edit that makes a configuration as large as the store accepts,
+// divided by a scale.
+func enlargeKeys(scale int, seed uint64) func(map[string]any) {
 	return func(config map[string]any) {
-		config["tenants"].([]any)[0].(map[string]any)["keys"] = keysUpTo(largestValue/scale, seed)
+		config["tenants"].([]any)[0].(map[string]any)["keys"] = randomKeys(largestValue/scale, seed)
 	}
 }
 
-// Callers were served by routes that had been taken away seconds before, and most requests
-// were late. An operator had added 1,400 routes, twice. VMs with wide links had the new
-// configuration at once; those with links of 10 Mbit/s stayed with the old one for good,
-// while what they received filled their links. Calls of the store and of hubs had a timeout
-// for the whole of an answer. The link carries less than the configuration in that time, and
-// each new call began from zero.
+// Guards against configurations that never arrive over narrow links. An operator added 1,400
+// routes, twice. VMs with wide links had the new configuration at once; those with links of
+// 10 Mbit/s kept the old one for good, while partial answers filled their links. Callers were
+// served by routes that had been removed seconds before, and most requests were late. Calls
+// of the store and of hubs had a timeout for the whole answer; a link of 10 Mbit/s carries
+// less than the configuration in that time, and each new call began from zero.
 //
-// What proved it: the VMs wrote "311221 of 863477 bytes received in 702ms" for a store that
-// had not failed a call, one after the other until the end, and no VM with a wide link did.
+// The cause showed in the logs: those VMs wrote "311221 of 863477 bytes received in 702ms"
+// for a store that had not failed a call, repeatedly until the end, and no VM with a wide
+// link did.
 func TestLargeConfigurationComesInForceOverNarrowLinks(t *testing.T) {
 	c := newCluster(t)
-	toHubs, links := c.startNarrow()
+	toHubs, links := c.startWithNarrowLinks()
 	before := toHubs.received.Load()
 	fromStore := make([]int64, len(links))
 	for i, l := range links {
 		fromStore[i] = l.received.Load()
 	}
-	c.configure(enlarge(scale, 1))
-	c.inForceEverywhere()
-	// What a link carries in the time in which a configuration has to be in force.
-	most := int64(narrowLink / scale * c.vms[0].settings.Bounds.Configuration.Seconds())
+	c.configure(enlargeKeys(scaleDown, 1))
+	c.waitConfigurationEverywhere()
+	// The bytes that a link carries in the time in which a configuration has to be in force.
+	most := int64(narrowLink / scaleDown * c.vms[0].settings.Bounds.Configuration.Seconds())
 	require.Less(t, toHubs.received.Load()-before, most*int64(len(links)))
 	for i, l := range links {
-		require.Less(t, l.received.Load()-fromStore[i], most, "link %d", i)
+		require.Less(t, l.received.Load()-fromStore[i], most, "link %d: too many bytes received from the store", i)
 	}
 }
 
 // A VM with a link of 10 Mbit/s starts while the configuration is as large as the store
-// takes. It never became ready.
+// accepts. It never became ready.
 func TestVMStartsWithALargeConfigurationOverANarrowLink(t *testing.T) {
 	c := newCluster(t)
-	c.configure(enlarge(1, 1))
+	c.configure(enlargeKeys(1, 1))
 	v := c.startAs(vmSpec{name: "vm-1", domain: "a", link: newLink(t, narrowLink), linkMbps: 10})
 	require.Equal(t, int64(c.version), v.core.Catalog().Version)
 }
 
-// VMs with links of 10 Mbit/s hear of the store through their hubs alone, since the store
-// turns them away. An answer of a hub had a timeout as a whole, so that a large configuration
-// never came through, and each change travelled as a whole document: thirteen thousand a
-// day would take more of a link than all control may.
+// VMs with links of 10 Mbit/s get the store's contents only through their hubs, since the
+// store refuses them. A hub's answer had a timeout as a whole, so that a large configuration
+// never arrived, and each change was sent as a whole document: thirteen thousand changes a
+// day would take more of a link than all control traffic may.
 func TestHubTellsNarrowVMsWhatChanged(t *testing.T) {
 	c := newCluster(t)
-	toHubs, links := c.startNarrow()
+	toHubs, links := c.startWithNarrowLinks()
 	for _, v := range c.vms[len(c.vms)-len(links):] {
-		v.turnedAway.Store(true)
+		v.storeRefuses.Store(true)
 	}
-	c.configure(enlarge(scale, 1))
-	c.inForceEverywhere()
+	c.configure(enlargeKeys(scaleDown, 1))
+	c.waitConfigurationEverywhere()
 	before, start := toHubs.received.Load(), time.Now()
-	c.configure(enlarge(scale, 1))
-	c.inForceEverywhere()
+	c.configure(enlargeKeys(scaleDown, 1))
+	c.waitConfigurationEverywhere()
 	took := max(time.Since(start), c.vms[0].settings.Bounds.Configuration)
-	require.Less(t, float64(toHubs.received.Load()-before), controlBytes*took.Seconds()*float64(len(links)))
+	require.Less(t, float64(toHubs.received.Load()-before), controlBytesPerSecond*took.Seconds()*float64(len(links)))
 }
 
-// Both hubs are lost while the configuration is as large as the store takes. All VMs behind
-// them turn to the store at the same moment; if each read the configuration again, which has
-// not changed, their links would be full and callers' streams would pause.
+// Both hubs are lost while the configuration is as large as the store accepts. All VMs behind
+// them switch to the store at the same moment; if each read the unchanged configuration
+// again, their links would be full and callers' streams would stall.
 func TestVMsThatLoseTheirHubDoNotReadTheConfigurationAgain(t *testing.T) {
 	c := newCluster(t)
-	_, links := c.startNarrow()
-	c.configure(enlarge(scale, 1))
-	c.inForceEverywhere()
+	_, links := c.startWithNarrowLinks()
+	c.configure(enlargeKeys(scaleDown, 1))
+	c.waitConfigurationEverywhere()
 	for _, v := range c.vms {
-		// A VM may have it from another one before its own view of the store does.
+		// A VM may have it from another VM before its own view of the store has it.
 		c.eventually(func() bool { return v.tracker.holds(platform.ConfigurationKey, v.configuration().Revision) })
 	}
 	before := make([]int64, len(links))
@@ -113,37 +114,38 @@
 		before[i] = l.received.Load()
 	}
 	for _, hub := range c.vms[:2] {
-		hub.turnedAway.Store(true)
+		hub.storeRefuses.Store(true)
 	}
-	c.eventually(func() bool { return c.followers() == 0 })
+	c.eventually(func() bool { return c.nonWatchingVMs() == 0 })
 	for i, l := range links {
-		require.Less(t, l.received.Load()-before[i], int64(largestValue/scale), "link %d", i)
+		require.Less(t, l.received.Load()-before[i], int64(largestValue/scaleDown), "link %d: configuration read from the store again", i)
 	}
-	c.configure(enlarge(scale, 2))
-	c.inForceEverywhere()
+	c.configure(enlargeKeys(scaleDown, 2))
+	c.waitConfigurationEverywhere()
 }
 
-// controlBytes is what a VM may send and receive for control, in bytes a second.
-const controlBytes = 9 << 10
+// controlBytesPerSecond is what a VM may send and receive for control.
+const controlBytesPerSecond = 9 << 10
 
-// largeFleetInForce is the time in which a configuration has to be in force in large fleets.
-const largeFleetInForce = 3 * time.Second
+// largeFleetConfigurationDeadline is the time in which a configuration has to be in force in
+// large fleets.
+const largeFleetConfigurationDeadline = 3 * time.Second
 
-// startNarrow starts two VMs with wide links, which are the hubs of two failure domains, and
-// more with narrow ones. It returns the links of the latter to the VMs that they call, and to
-// the store.
-func (c *cluster) startNarrow() (toVMs *link, toStore []*link) {
-	toVMs = newLinks(c.t, narrowLink/scale)
+// startWithNarrowLinks starts two VMs with wide links, which are the hubs of two failure
+// domains, and more VMs with narrow ones. It returns the links of the latter to the VMs that
+// they call, and to the store.
+func (c *cluster) startWithNarrowLinks() (toVMs *link, toStore []*link) {
+	toVMs = newLinks(c.t, narrowLink/scaleDown)
 	c.registerPeersBehind(toVMs)
 	for i := range pauseFleet + 2 {
-		spec := vmSpec{name: fmt.Sprintf("vm-%02d", i), domain: fmt.Sprint(i % 2), linkMbps: 200, inForce: largeFleetInForce}
+		spec := vmSpec{name: fmt.Sprintf("vm-%02d", i), domain: fmt.Sprint(i % 2), linkMbps: 200, configurationDeadline: largeFleetConfigurationDeadline}
 		if i >= 2 {
-			spec.linkMbps, spec.link = 10, newLink(c.t, narrowLink/scale)
+			spec.linkMbps, spec.link = 10, newLink(c.t, narrowLink/scaleDown)
 			toStore = append(toStore, spec.link)
 		}
 		c.startAs(spec)
 	}
-	c.eventually(func() bool { return c.followers() == pauseFleet })
+	c.eventually(func() bool { return c.nonWatchingVMs() == pauseFleet })
 	return toVMs, toStore
 }
 
@@ -154,24 +156,24 @@
 	return t.view.items[key].Revision == revision
 }
 
-// inForceEverywhere waits until all VMs have the newest configuration. A failure names those
-// that lack it.
-func (c *cluster) inForceEverywhere() {
+// waitConfigurationEverywhere waits until all VMs have the newest configuration in force. A
+// failure names those that lack it.
+func (c *cluster) waitConfigurationEverywhere() {
 	c.t.Helper()
 	lacking := func() (out []string) {
 		for _, v := range c.vms {
 			if has := v.core.Catalog().Version; has != int64(c.version) {
-				out = append(out, fmt.Sprintf("%s has %d, its view is %v old, alone %v, follows %v", v.settings.VM, has,
-					v.tracker.age(), v.tracker.alone(), v.tracker.followsHub()))
+				out = append(out, fmt.Sprintf("%s has version %d, its view is %v old, all hubs failed: %v, follows a hub: %v", v.settings.VM, has,
+					v.tracker.age(), v.tracker.allHubsFailed(), v.tracker.followsHub()))
 			}
 		}
 		return out
 	}
 	arrived := assert.Eventually(c.t, func() bool { return len(lacking()) == 0 }, testWait, 5*time.Millisecond)
-	require.True(c.t, arrived, "version %d: %v", c.version, lacking())
+	require.True(c.t, arrived, "version %d is not in force at all VMs: %v", c.version, lacking())
 }
 
-// registerPeersBehind makes VMs reach each other over links.
+// registerPeersBehind rewrites registrations so that VMs reach each other over links.
 func (c *cluster) registerPeersBehind(l *link) {
 	c.store.Rewrite(func(key string, value []byte) []byte {
 		if !strings.HasPrefix(key, vmPrefix) {
@@ -181,7 +183,7 @@
 		if !assert.NoError(c.t, json.Unmarshal(value, &r)) {
 			return value
 		}
-		r.Peers = l.to(r.Peers)
+		r.Peers = l.proxy(r.Peers)
 		rewritten, err := json.Marshal(r)
 		assert.NoError(c.t, err)
 		return rewritten
--- a/internal/vm/link_test.go
+++ b/internal/vm/link_test.go
@@ -11,35 +11,36 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// narrowLink is the bandwidth of a link of 10 Mbit/s in bytes a second.
+// narrowLink is the bandwidth of a 10 Mbit/s link, in bytes per second.
 const narrowLink = 10_000_000 / 8
 
-// scale is how much smaller configurations and bandwidths are where many VMs run in one
-// process, which could not read a megabyte each at the same time. What a link carries in a
-// second against the size of a configuration is the same.
-const scale = 8
+// scaleDown divides the size of configurations and the bandwidths in tests that run many VMs
+// in one process, which could not all read a megabyte at the same time. The ratio of
+// bandwidth to configuration size stays the same.
+const scaleDown = 8
 
-// link carries what a VM receives with a bandwidth of its own, and counts it.
+// link limits the bandwidth of what a VM receives, and counts its bytes.
 type link struct {
 	t *testing.T
-	// bandwidth is in bytes a second.
+	// bandwidth is in bytes per second.
 	bandwidth int
-	// shared connections have the bandwidth together, as at a VM's own link; others have
-	// it each, as the links of the VMs at their far ends.
-	shared   *pace
+	// shared limits all connections together, as a VM's own link does; if it is nil, each
+	// connection has the bandwidth to itself, as if it were limited by the link of the VM at
+	// its other end.
+	shared   *bandwidthLimiter
 	received atomic.Int64
 }
 
 // newLink returns the link of one VM.
 func newLink(t *testing.T, bandwidth int) *link {
-	return &link{t: t, bandwidth: bandwidth, shared: &pace{bandwidth: bandwidth}}
+	return &link{t: t, bandwidth: bandwidth, shared: &bandwidthLimiter{bandwidth: bandwidth}}
 }
 
 // newLinks returns the links of many VMs that connect to the same address.
 func newLinks(t *testing.T, bandwidth int) *link { return &link{t: t, bandwidth: bandwidth} }
 
-// to returns an address behind which a target is reached over the link.
-func (l *link) to(target string) string {
+// proxy returns an address at which a target can be reached over the link.
+func (l *link) proxy(target string) string {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if !assert.NoError(l.t, err) {
 		return target
@@ -51,13 +52,13 @@
 			if err != nil {
 				return
 			}
-			go l.carry(near, target)
+			go l.forward(near, target)
 		}
 	}()
 	return listener.Addr().String()
 }
 
-func (l *link) carry(near net.Conn, target string) {
+func (l *link) forward(near net.Conn, target string) {
 	defer near.Close()
 	far, err := net.Dial("tcp4", target)
 	if err != nil {
@@ -70,7 +71,7 @@
 	}()
 	p := l.shared
 	if p == nil {
-		p = &pace{bandwidth: l.bandwidth}
+		p = &bandwidthLimiter{bandwidth: l.bandwidth}
 	}
 	buffer := make([]byte, 4<<10)
 	for {
@@ -83,22 +84,22 @@
 	}
 }
 
-// pace lets bytes through at a bandwidth.
-type pace struct {
+// bandwidthLimiter delays bytes so that they pass at a bandwidth, in bytes per second.
+type bandwidthLimiter struct {
 	bandwidth int
 
-	mu   sync.Mutex
-	free time.Time
+	mu     sync.Mutex
+	freeAt time.Time
 }
 
-func (p *pace) wait(n int) {
+func (p *bandwidthLimiter) wait(n int) {
 	p.mu.Lock()
 	now := time.Now()
-	if p.free.Before(now) {
-		p.free = now
+	if p.freeAt.Before(now) {
+		p.freeAt = now
 	}
-	p.free = p.free.Add(time.Duration(n) * time.Second / time.Duration(p.bandwidth))
-	until := p.free
+	p.freeAt = p.freeAt.Add(time.Duration(n) * time.Second / time.Duration(p.bandwidth))
+	until := p.freeAt
 	p.mu.Unlock()
 	time.Sleep(until.Sub(now))
 }
--- a/internal/vm/logs_test.go
+++ b/internal/vm/logs_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An engineer on call finds an event in the log that no page explains, or a page
-// promises one that is never written.
+// Every event in the logs is described on the page of logs, and every event on the page is
+// logged: an engineer on call must be able to look up each of them.
 func TestEveryEventIsOnThePageOfLogs(t *testing.T) {
 	written := make(map[string]bool)
 	name := regexp.MustCompile(`Str\("event", "([a-z_]+)"\)`)
--- a/internal/vm/path_test.go
+++ b/internal/vm/path_test.go
@@ -28,8 +28,8 @@
 	require.Equal(t, "hello", run.Body)
 }
 
-// A caller sends headers that only the system may set, to borrow another team's name
-// or memory in an engine. They must not arrive, and neither must the key.
+// A caller sends headers that only the system may set, to pose as another team or use its
+// memory in an engine. They must not be forwarded, and neither must the key.
 func TestCallersCannotSetTheSystemsHeaders(t *testing.T) {
 	c := newCluster(t, standin.NewReplica("engine-1", 2, "m0"))
 	v := c.start("a")
@@ -58,27 +58,27 @@
 	require.Empty(t, c.replicas["clerk-1"].Runs())
 }
 
-// A VM starts, and has a configuration in force a moment before it knows any upstream, or has it
-// from another VM while the store turns it away. Callers that were sent there by then were
+// A starting VM has a configuration in force a moment before it knows any upstream, or gets
+// it from another VM while the store refuses it. Callers that were sent there by then were
 // refused although upstreams were free.
 func TestVMIsNotReadyBeforeItKnowsUpstreams(t *testing.T) {
 	c := newCluster(t, standin.NewReplica("clerk-1", 0))
 	running := c.start("a")
 	p := running.idle(t)
-	p.configure(running.configuration())
+	p.applyConfiguration(running.configuration())
 	require.NotNil(t, p.core.Catalog())
 	require.False(t, p.ready())
 	running.tracker.mu.Lock()
 	seen := running.tracker.view
 	running.tracker.mu.Unlock()
-	p.follow(seen)
+	p.applyView(seen)
 	require.True(t, p.ready())
 	require.NotNil(t, p.instance("clerk-1"))
 }
 
-// A clerk replica loses its connection while it files a deed. Nobody can know whether
-// the deed was filed. The caller is told so, and the filing is not sent again: a second
-// one would be a rejected case.
+// A clerk replica loses its connection while it files a deed, and it cannot be known whether
+// the deed was filed. The caller is told so, and the filing is not sent again: a second one
+// would be a rejected case.
 func TestFilingIsNotRepeatedWhenTheConnectionBreaks(t *testing.T) {
 	one, two := standin.NewReplica("clerk-1", 0), standin.NewReplica("clerk-2", 0)
 	one.Fail, two.Fail = abort, abort
@@ -91,7 +91,7 @@
 
 func abort(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// The same happens to a lookup, which may be repeated: the caller never notices.
+// The same happens to a lookup, which may be repeated: the caller does not notice.
 func TestLookupIsRepeatedWhenTheConnectionBreaks(t *testing.T) {
 	one, two := standin.NewReplica("clerk-1", 0), standin.NewReplica("clerk-2", 0)
 	c := newCluster(t, one, two)
@@ -104,8 +104,8 @@
 	}
 }
 
-// A replica is full and says that it did not run the request. Another one takes it,
-// also if the request must not run twice.
+// A replica is full and says that it did not run the request. The request goes to another
+// one, even if it must not run twice.
 func TestRefusedFilingGoesToAnotherReplica(t *testing.T) {
 	one, two := standin.NewReplica("clerk-1", 0), standin.NewReplica("clerk-2", 0)
 	c := newCluster(t, one, two)
@@ -120,7 +120,7 @@
 }
 
 // An engine crashes in the middle of an event. On a route that can resume, the stream
-// goes on at another engine after the last whole event, and the caller sees each event
+// continues at another engine after the last whole event, and the caller sees each event
 // once.
 func TestStreamResumesAfterTheLastWholeEvent(t *testing.T) {
 	one, two := standin.NewReplica("engine-1", 2, "m0"), standin.NewReplica("engine-2", 2, "m0")
@@ -140,8 +140,8 @@
 	require.Equal(t, "1", runs[0].LastEvent)
 }
 
-// The same on a route that must not be repeated: the caller has to see that its answer
-// broke off, since an answer that ends early would pass for the whole one.
+// The same on a route that must not be repeated: the caller has to see that its answer broke
+// off, since an answer that ends early could be taken for the whole one.
 func TestCutStreamDoesNotLookComplete(t *testing.T) {
 	one := standin.NewReplica("engine-1", 2, "m0")
 	one.CutNext(2)
@@ -152,26 +152,26 @@
 	require.Len(t, one.Runs(), 1)
 }
 
-// The store turns one VM away while an operator withdraws a key. The VM learns of it
-// from the others, or the key would work there until the store lets it in again.
+// The store refuses one VM while an operator withdraws a key. The VM learns of it from the
+// others, or the key would work there until the store accepts the VM again.
 func TestTurnedAwayVMLearnsOfAWithdrawnKey(t *testing.T) {
 	c := newCluster(t, standin.NewReplica("clerk-1", 0))
 	a, b := c.start("a"), c.start("b")
 	c.eventually(func() bool { return a.fleet.size() == 2 && b.fleet.size() == 2 })
-	b.turnedAway.Store(true)
+	b.storeRefuses.Store(true)
 	c.configure(func(config map[string]any) {
 		config["tenants"].([]any)[0].(map[string]any)["keys"] = []string{"another"}
 	})
 	c.eventually(func() bool { return c.ask(b, call{method: "GET", path: "/look/"}).status == http.StatusUnauthorized })
 }
 
-// A replica says that it leaves. Within two seconds no VM sends it anything, though its
-// entry is still there.
+// A replica is draining. Within two seconds no VM sends it anything, though its entry is
+// still there.
 func TestDrainingReplicaGetsNothing(t *testing.T) {
 	one, two := standin.NewReplica("clerk-1", 0), standin.NewReplica("clerk-2", 0)
 	c := newCluster(t, one, two)
 	v := c.start("a")
-	c.describe("clerk-1", "draining")
+	c.setReplicaState("clerk-1", "draining")
 	c.eventually(func() bool { i := v.instance("clerk-1"); return i != nil && i.Draining })
 	before := len(one.Runs())
 	for range 6 {
@@ -180,8 +180,8 @@
 	require.Len(t, one.Runs(), before)
 }
 
-// The operator's system and others write to the store as well. An entry that cannot be
-// read names no instance, and a broken part of a configuration takes nothing else down.
+// The operator's system and others also write to the store. An entry that cannot be parsed
+// names no instance, and a broken part of a configuration does not affect the rest.
 func TestUnreadablePartsTakeNothingElseDown(t *testing.T) {
 	c := newCluster(t, standin.NewReplica("clerk-1", 0))
 	v := c.start("a")
@@ -197,8 +197,8 @@
 	require.Equal(t, http.StatusOK, c.ask(v, call{method: "GET", path: "/look/"}).status)
 }
 
-// A VM is told to stop while a stream runs and while callers still hold its address. The
-// stream ends whole, and what comes late is told that it has not run.
+// A VM is stopped while a request runs and while callers still hold its address. The running
+// answer is delivered in full, and late requests are refused as not executed.
 func TestStopCutsNothing(t *testing.T) {
 	slow := standin.NewReplica("clerk-1", 0)
 	c := newCluster(t, slow)
@@ -216,9 +216,9 @@
 	require.Equal(t, "late but whole", (<-got).body)
 }
 
-// Something between a replica and us answers in its place, or the replica sends bytes that
-// only look like an answer. A success that no replica has signed is nobody's: the caller
-// would take a filing for done that never was.
+// Something between the replica and the VM answers in its place, or the replica sends bytes
+// that only look like an answer. A success that no replica has signed is not passed on: the
+// caller would take a filing for done that never happened.
 func TestUnsignedSuccessIsNotPassedOn(t *testing.T) {
 	one := standin.NewReplica("clerk-1", 0)
 	one.Fail = func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("all is well")) }
@@ -228,8 +228,8 @@
 	require.Len(t, one.Runs(), 1)
 }
 
-// A caller forgets the ID of its attempt. No replica runs such a request, and trying them
-// all would use up the retry budget of others.
+// A caller omits the ID of its attempt. No replica runs such a request, and trying all of
+// them would use up the retry budget of others.
 func TestRequestWithoutAnIDIsMalformed(t *testing.T) {
 	one := standin.NewReplica("clerk-1", 0)
 	c := newCluster(t, one)
--- a/internal/vm/process.go
+++ b/internal/vm/process.go
@@ -30,10 +30,10 @@
 	"github.com/chestnutarch/chestnutarch/platform"
 )
 
-// ownPrefix is the prefix of this project's keys in the store.
+// projectPrefix is the prefix of this project's keys in the store.
 const ownPrefix = "chestnutarch/"
 
-// Process is one VM's process.
+// Process is the process of one VM.
 type Process struct {
 	settings *platform.Settings
 	log      zerolog.Logger
@@ -55,24 +55,25 @@
 
 	instances atomic.Pointer[map[string]*upstream.Instance]
 	entries   *instanceEntries
-	// ownKeys is how many keys of this project the last view had, ownNewest the newest
-	// revision of them.
-	ownKeys   int
-	ownNewest int64
-	leaving   atomic.Bool
-	// viewed says that a view of the store was taken in, so that upstreams are known.
-	viewed atomic.Bool
-	// gone holds instances that were seen draining or gone, by incarnation.
+	// projectKeys is the number of this project's keys in the last view, projectRevision
+	// their newest revision.
+	projectKeys     int
+	projectRevision int64
+	leaving         atomic.Bool
+	// viewReceived is set once a view of the store has been applied, so that upstreams are
+	// known.
+	viewReceived atomic.Bool
+	// departures holds the incarnations of instances that were seen draining or gone.
 	gone *departures
 
 	mu sync.Mutex
-	// config is the configuration in force as it stands in the store, for VMs that the
-	// store turns away.
-	config store.Item
-	newer  newerConfiguration
+	// config is the configuration in force as stored, kept so that it can be served to VMs
+	// that the store refuses.
+	config           store.Item
+	configurationLag configurationLag
 }
 
-// New builds a process.
+// New returns a process built from its settings.
 func New(s *platform.Settings, log zerolog.Logger) (*Process, error) {
 	p := &Process{settings: s, log: log, metrics: metrics.NewRegistry(), gone: newDepartures(), entries: newInstanceEntries(platform.Instance)}
 	p.store = platform.NewStore(s.Store.Address, p.countStoreCall)
@@ -84,13 +85,13 @@
 			Dur("for_ms", time.Until(until)).Send()
 	})
 	p.budget = retrybudget.New(retryLimitsOf(s), time.Now())
-	p.tracker = newTracker(p.store, log, p.follow, func() int { return p.fleet.size() }, s.Bounds.Configuration, relay{
-		hubs: func() []string { return p.fleet.hubs() }, ask: p.askHub,
+	p.tracker = newTracker(p.store, log, p.applyView, func() int { return p.fleet.size() }, s.Bounds.Configuration, relay{
+		hubs: func() []string { return p.fleet.hubs() }, follow: p.callHub,
 	})
 	p.candidate = leadership.New(leadership.Options{
 		Store: p.store, VM: s.VM, Prefix: ownPrefix, LeaseMin: s.Store.LeaseMin,
 		Settle: s.Bounds.OrderLease, Clock: clock.Boot(), Log: log,
-		Stands: func() bool { return p.fleet.mayLead() || p.tracker.alone() },
+		Stands: func() bool { return p.fleet.eligibleToLead() || p.tracker.allHubsFailed() },
 	})
 	empty := make(map[string]*upstream.Instance)
 	p.instances.Store(&empty)
@@ -102,7 +103,7 @@
 		Upstreams: p.replicas, Assigner: p.assigner, Limiter: p.limiter,
 		Budget:   p.budget,
 		Instance: p.instance, VMs: p.fleet.size, EnsureAdapter: p.ensureAdapter, UpstreamsAge: p.tracker.age,
-		Outdated: func() bool { return p.newer.behind(time.Now()) > 0 },
+		Outdated: func() bool { return p.configurationLag.behind(time.Now()) > 0 },
 		Log:      log, Metrics: p.metrics,
 	})
 	p.ingress = platform.NewIngress(p.core)
@@ -128,14 +129,15 @@
 	return net.JoinHostPort(p.settings.IP, strconv.Itoa(p.settings.FirstPort))
 }
 
-// metricsAddress is where metrics are served: the last port between VMs.
+// metricsAddress returns the address that serves metrics: the last of the ports reserved for
+// traffic between VMs.
 func (p *Process) metricsAddress() string {
 	return net.JoinHostPort(p.settings.IP, strconv.Itoa(p.settings.LastPort))
 }
 
 func (p *Process) instance(id string) *upstream.Instance { return (*p.instances.Load())[id] }
 
-// Run serves until ctx ends, then stops gracefully.
+// Run serves until ctx ends, then shuts down gracefully.
 func (p *Process) Run(ctx context.Context) error {
 	p.log.Info().Str("event", "start").Str("callers", p.settings.Callers).Send()
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -150,17 +152,17 @@
 	}
 	peers, err := transport.NewListenConfig(transport.Limits{}).Listen(background, "tcp4", p.peerAddress())
 	if err != nil {
-		return errors.Wrap(err, "vm: peers")
+		return errors.Wrap(err, "vm: listen for peers")
 	}
 	leading, resign := context.WithCancel(background)
 	group.Go(func() error { return p.tracker.run(background) })
-	group.Go(func() error { return p.measure(background) })
+	group.Go(func() error { return p.updateGauges(background) })
 	group.Go(func() error { return p.fleet.register(background) })
 	group.Go(func() error { return p.fleet.run(background) })
-	group.Go(func() error { return p.fleet.sent.run(background) })
+	group.Go(func() error { return p.fleet.notifier.run(background) })
 	group.Go(func() error { return p.candidate.Run(leading) })
 	group.Go(func() error { return p.planner.run(leading) })
-	group.Go(func() error { return p.peerServer.Serve(background, peers, peerGrace) })
+	group.Go(func() error { return p.peerServer.Serve(background, peers, peerShutdownTimeout) })
 	select {
 	case <-ctx.Done():
 	case <-background.Done():
@@ -173,34 +175,35 @@
 }
 
 const (
-	// peerGrace bounds the wait for calls of peers at the end.
-	peerGrace = 300 * time.Millisecond
-	// leaveTime is how long a stopping VM goes on taking connections: callers keep
+	// peerShutdownTimeout bounds the wait for running calls of peers at shutdown.
+	peerShutdownTimeout = 300 * time.Millisecond
+	// lameDuckPeriod is how long a stopping VM keeps accepting connections: callers cache
 	// addresses for some seconds.
-	leaveTime = 3 * time.Second
-	// stopMargin is how much of the grace period is left for the end itself.
-	stopMargin = 700 * time.Millisecond
+	lameDuckPeriod = 3 * time.Second
+	// shutdownMargin is the part of the grace period reserved for shutting down the servers
+	// after draining.
+	shutdownMargin = 700 * time.Millisecond
 )
 
-// drain takes the VM out of the answers, serves what still comes for a while, then
-// refuses new requests as not run and waits until the others have ended.
+// drain removes the VM from address answers, serves late requests for the lame duck period,
+// then refuses new requests as not executed and waits until the running ones have ended.
 //
-// A leader goes on leading until the end of its grace period. Its successor gives no orders
-// for the first three seconds, and when all VMs are stopped in turn the lead passes to VMs
-// that are stopped next: adapters could not be had for eleven seconds in a row.
+// A leader keeps leading until the end of its grace period. Its successor sends no orders for
+// the first three seconds, and in a rolling restart the leadership passes to VMs that are
+// stopped next: without this, no adapter could be loaded for eleven seconds in a row.
 func (p *Process) drain(background context.Context, servers []*server, resign func()) {
 	p.log.Info().Str("event", "draining").Int64("pending", p.ingress.Pending()).Send()
-	end := time.Now().Add(p.settings.Bounds.Grace - stopMargin)
+	deadline := time.Now().Add(p.settings.Bounds.Grace - shutdownMargin)
 	p.leaving.Store(true)
 	p.core.Close()
 	p.fleet.announce()
-	sleep(background, min(leaveTime, p.settings.Bounds.Grace/2))
+	sleep(background, min(lameDuckPeriod, p.settings.Bounds.Grace/2))
 	p.core.RefuseNew()
-	for time.Now().Before(end) && (p.ingress.Pending() > 0 || p.candidate.Leads()) && background.Err() == nil {
+	for time.Now().Before(deadline) && (p.ingress.Pending() > 0 || p.candidate.Leads()) && background.Err() == nil {
 		sleep(background, 20*time.Millisecond)
 	}
 	resign()
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(background), stopMargin/2)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(background), shutdownMargin/2)
 	defer cancel()
 	for _, s := range servers {
 		_ = s.http.Shutdown(ctx)
@@ -208,9 +211,9 @@
 	}
 }
 
-// ready reports whether callers may be sent here.
+// ready reports whether callers may be sent to this VM.
 func (p *Process) ready() bool {
-	return !p.leaving.Load() && p.viewed.Load() && p.core.Catalog() != nil && p.newer.behind(time.Now()) <= p.settings.Bounds.Configuration
+	return !p.leaving.Load() && p.viewReceived.Load() && p.core.Catalog() != nil && p.configurationLag.behind(time.Now()) <= p.settings.Bounds.Configuration
 }
 
 type server struct {
@@ -227,15 +230,15 @@
 }
 
 const (
-	// headerLimit bounds the headers of a request in bytes; headerTimeout the time
-	// in which they have to come. The configuration's own limits are lower, but
-	// change while connections are open.
-	headerLimit   = 64 << 10
-	headerTimeout = 10 * time.Second
-	// callerIdle is how long an idle connection of a caller is kept. Callers reuse
-	// connections up to four fifths of the configured time, which may be changed;
-	// a longer time cuts nobody.
-	callerIdle = 90 * time.Second
+	// maxHeaderBytes bounds the headers of a request, headerTimeout the time in which they
+	// have to arrive. The configuration's own limits are lower, but can change while
+	// connections are open.
+	maxHeaderBytes = 64 << 10
+	headerTimeout  = 10 * time.Second
+	// callerIdleTimeout is how long an idle connection of a caller is kept open. Callers
+	// reuse connections for up to four fifths of the configured time, which may change; a
+	// longer time here never closes a connection that a caller is about to reuse.
+	callerIdleTimeout = 90 * time.Second
 )
 
 func (p *Process) listen(ctx context.Context) ([]*server, error) {
@@ -255,28 +258,31 @@
 			return nil, errors.Wrapf(err, "vm: listen on %s", s.address)
 		}
 		out = append(out, &server{listener: listener, http: &http.Server{
-			Handler: s.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdle, MaxHeaderBytes: headerLimit,
+			Handler: s.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 			ErrorLog: nil,
 		}})
 	}
 	return out, nil
 }
 
-// follow takes a newer view of the store.
-func (p *Process) follow(v view) {
-	p.followOwn(v)
+// applyView applies a newer view of the store.
+func (p *Process) applyView(v view) {
+	p.applyProjectKeys(v)
 	p.setInstances(v)
-	// Requests that wait for the first configuration need the rest by then.
+	// Applied last: requests that wait for the first configuration need the members and
+	// instances as soon as it is in force.
 	if item, ok := v.items[platform.ConfigurationKey]; ok {
-		p.configure(item)
+		p.applyConfiguration(item)
 	}
-	p.viewed.Store(true)
+	p.viewReceived.Store(true)
 }
 
-// followOwn takes in the keys of this project, those of the VMs if any key has changed. A revision
-// is never given twice, so that each change shows in the newest one or in the number of keys.
-func (p *Process) followOwn(v view) {
-	// A candidate that has lost its lease stands again only once it has seen a further view.
+// applyProjectKeys applies the keys of this project. The registrations of VMs are read only
+// if any of these keys has changed: a revision is never given twice, so every change shows in
+// the newest revision or in the number of keys.
+func (p *Process) applyProjectKeys(v view) {
+	// Called for every view: a candidate that has lost its lease stands for election again
+	// only once it has seen a further view.
 	p.candidate.Observe(v.items)
 	keys, newest := 0, int64(0)
 	for key, item := range v.items {
@@ -285,22 +291,22 @@
 			newest = max(newest, item.Revision)
 		}
 	}
-	if p.viewed.Load() && keys == p.ownKeys && newest == p.ownNewest {
+	if p.viewReceived.Load() && keys == p.projectKeys && newest == p.projectRevision {
 		return
 	}
-	p.ownKeys, p.ownNewest = keys, newest
+	p.projectKeys, p.projectRevision = keys, newest
 	own := make(map[string]store.Item, keys)
 	for key, item := range v.items {
 		if strings.HasPrefix(key, ownPrefix) {
 			own[key] = item
 		}
 	}
-	p.fleet.observe(own)
+	p.fleet.updateRegistrations(own)
 }
 
-// configure puts a configuration in force if it is newer than the one that is. A
-// configuration that cannot be read leaves the old one in force.
-func (p *Process) configure(config store.Item) {
+// applyConfiguration puts a configuration in force if it is newer than the current one. If it
+// cannot be parsed, the current one stays in force.
+func (p *Process) applyConfiguration(config store.Item) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	revision := config.Revision
@@ -316,7 +322,7 @@
 		p.log.Warn().Str("event", "configuration_part_skipped").Int64("revision", revision).AnErr("cause", s).Send()
 	}
 	p.config = config
-	p.newer.applied(revision, time.Now())
+	p.configurationLag.apply(revision, time.Now())
 	p.tracker.values.note(config)
 	p.limiter.SetLimits(limitsOf(next), time.Now())
 	p.assigner.SetCatalog(next)
@@ -333,17 +339,17 @@
 	return out
 }
 
-// configuration returns the configuration in force as it stands in the store; its revision
-// is zero if there is none yet.
+// configuration returns the configuration in force as stored; its revision is zero if there
+// is none yet.
 func (p *Process) configuration() store.Item {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.config
 }
 
-// Reload takes the settings that can change while the process runs: the bounds on
-// rates and on repeats. Addresses take effect at the next start. Settings that cannot
-// be read leave the old ones in force.
+// Reload applies the settings that can change while the process runs: the rate tolerance and
+// the retry budget. Addresses take effect at the next start. If read fails, the old settings
+// stay in force.
 func (p *Process) Reload(read func() (*platform.Settings, error)) {
 	next, err := read()
 	if err != nil {
--- a/internal/vm/reports.go
+++ b/internal/vm/reports.go
@@ -8,31 +8,32 @@
 	"github.com/chestnutarch/chestnutarch/internal/topology"
 )
 
-// report is what this VM tells another one.
-func (f *fleet) report(receiver string) *peerpb.VMReport {
-	_, leads := f.p.candidate.Authority()
+// buildReport returns this VM's report to another VM.
+func (f *fleet) buildReport(receiver string) *peerpb.VMReport {
+	_, leads := f.process.candidate.Authority()
 	out := &peerpb.VMReport{
-		Vm: f.p.settings.VM, Incarnation: f.incarnation, Sequence: f.sequence.Add(1),
-		CallerAddress: f.p.settings.Callers, PeerAddress: f.p.peerAddress(), Ready: f.p.ready(), Leads: leads,
-		ConfigurationRevision: f.p.configuration().Revision, ViewRevision: f.p.tracker.at(),
-		Leaving: f.p.gone.names(),
+		Vm: f.process.settings.VM, Incarnation: f.incarnation, Sequence: f.sequence.Add(1),
+		CallerAddress: f.process.settings.Callers, PeerAddress: f.process.peerAddress(), Ready: f.process.ready(), Leads: leads,
+		ConfigurationRevision: f.process.configuration().Revision, ViewRevision: f.process.tracker.at(),
+		Leaving: f.process.gone.names(),
 	}
-	scope, since := f.address(out, receiver)
+	scope, since := f.addAcknowledgement(out, receiver)
 	out.Scope = int32(scope)
 	if scope != topology.ScopePresence {
 		now := time.Now()
-		f.sums.setOwn(f.own, now)
-		f.sums.fill(out, scope, receiver, since, now)
+		f.aggregator.setOwn(f.ownWork, now)
+		f.aggregator.fillReport(out, scope, receiver, since, now)
 	}
 	if leads || (scope != topology.ScopeOwn && scope != topology.ScopePresence) {
-		f.p.planner.contents.describe(out, receiver)
+		f.process.planner.contents.describe(out, receiver)
 	}
 	return out
 }
 
-// address puts into a report what was taken in of the receiver's reports. It returns the
-// report's scope, and the version that the receiver has acknowledged in that scope.
-func (f *fleet) address(out *peerpb.VMReport, receiver string) (scope topology.Scope, since uint64) {
+// addAcknowledgement acknowledges in a report what was applied of the receiver's reports. It
+// returns the report's scope, and the version that the receiver has acknowledged in that
+// scope.
+func (f *fleet) addAcknowledgement(out *peerpb.VMReport, receiver string) (scope topology.Scope, since uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[receiver]
@@ -40,7 +41,7 @@
 		return topology.ScopePresence, 0
 	}
 	out.AcknowledgedIncarnation = m.Incarnation
-	out.Acknowledged, out.AcknowledgedScope = m.taken.version, int32(m.taken.scope)
+	out.Acknowledged, out.AcknowledgedScope = m.applied.version, int32(m.applied.scope)
 	scope = f.plan.ScopeFor(topology.VM{Name: receiver, Domain: m.Domain, Leads: m.leads})
 	if m.acknowledged.scope == scope {
 		since = m.acknowledged.version
@@ -48,129 +49,132 @@
 	return scope, since
 }
 
-// own is the work of this VM.
-func (f *fleet) own() work {
+// ownWork returns the work of this VM itself.
+func (f *fleet) ownWork() work {
 	return work{
-		admitted: f.p.limiter.Admitted(), asked: f.p.limiter.Asked(), demand: f.p.assigner.Demand(), loads: f.p.assigner.Loads(), inUse: f.p.assigner.InUse(),
+		admitted: f.process.limiter.Admitted(), asked: f.process.limiter.Asked(), demand: f.process.assigner.Demand(), loads: f.process.assigner.Loads(), inUse: f.process.assigner.InUse(),
 	}
 }
 
-// noteRoster notes on a hub which VMs take callers. It must be called with the lock held.
-func (f *fleet) noteRoster(now time.Time) {
+// updateRoster records which VMs take callers if this VM is a hub. It must be called with the
+// lock held.
+func (f *fleet) updateRoster(now time.Time) {
 	if !f.plan.IsHub() {
 		return
 	}
-	f.sums.setRoster(func(r *roster) {
+	f.aggregator.updateRoster(func(r *roster) {
 		for vm, m := range f.members {
-			near := m.Domain == f.p.settings.FailureDomain
-			r.set(vm, near, f.takesCallers(vm, m, m.heard, unheardAfter/2, now))
+			sameDomain := m.Domain == f.process.settings.FailureDomain
+			r.set(vm, sameDomain, f.takesCallers(vm, m, m.lastReport, peerTimeout/2, now))
 		}
-		r.keep(func(vm string) bool { return f.members[vm] != nil })
+		r.removeUnknown(func(vm string) bool { return f.members[vm] != nil })
 	})
 }
 
-// take takes in what another VM tells.
-func (f *fleet) take(ctx context.Context, r *peerpb.VMReport) {
+// applyReport applies a report of another VM. Reports of unknown VMs, those of earlier
+// incarnations, and those that are older than the last one are ignored.
+func (f *fleet) applyReport(ctx context.Context, r *peerpb.VMReport) {
 	now := time.Now()
-	// What two reports of a VM tell has to be taken in in the order of their acceptance.
-	f.taking.Lock()
-	defer f.taking.Unlock()
+	// Two reports of a VM have to be applied in the order in which they are accepted.
+	f.reportMu.Lock()
+	defer f.reportMu.Unlock()
 	f.mu.Lock()
 	m := f.members[r.Vm]
 	if m != nil && r.Incarnation > m.Incarnation {
-		m = f.startedAgain(m, r, now)
+		m = f.recordRestart(m, r, now)
 	}
 	if m == nil || m.Incarnation != r.Incarnation || r.Sequence <= m.sequence {
 		f.mu.Unlock()
 		return
 	}
-	m.sequence, m.heard, m.ready, m.leads = r.Sequence, now, r.Ready, r.Leads
+	m.sequence, m.lastReport, m.ready, m.leads = r.Sequence, now, r.Ready, r.Leads
 	m.acknowledged = progress{}
 	if r.AcknowledgedIncarnation == f.incarnation {
 		m.acknowledged = progress{topology.Scope(r.AcknowledgedScope), r.Acknowledged}
 	}
-	accepted := f.accepts(m, r)
+	accepted := f.acceptReport(m, r)
 	if accepted {
-		f.takeRoster(r)
+		f.applyRoster(r)
 	}
 	address := m.Peers
-	near := m.Domain == f.p.settings.FailureDomain
+	sameDomain := m.Domain == f.process.settings.FailureDomain
 	f.mu.Unlock()
 	if accepted {
-		f.takeWork(r, near, now)
+		f.applyWork(r, sameDomain, now)
 	}
-	f.p.planner.hearContents(r)
-	if r.ViewRevision > f.p.tracker.at() {
-		f.p.peerDepartures(r.Leaving)
+	f.process.planner.hearContents(r)
+	if r.ViewRevision > f.process.tracker.at() {
+		f.process.peerDepartures(r.Leaving)
 	}
-	f.p.newer.heard(r.ConfigurationRevision, now)
-	// A hub tells this VM of the same configuration in its next answer.
-	if r.ConfigurationRevision > f.p.configuration().Revision && !f.p.tracker.followsHub() {
+	f.process.configurationLag.peerHas(r.ConfigurationRevision, now)
+	// A VM that follows a hub gets the same configuration in the hub's next answer.
+	if r.ConfigurationRevision > f.process.configuration().Revision && !f.process.tracker.followsHub() {
 		go f.fetchConfiguration(context.WithoutCancel(ctx), address)
 	}
 }
 
-// accepts reports whether what a report covers counts here, and notes that it is taken in. A
-// report that builds on what was not taken in is of no use. It must be called with the lock
-// held.
-func (f *fleet) accepts(m *member, r *peerpb.VMReport) bool {
+// acceptReport reports whether the counters and loads of a report may be applied, and if so
+// records them as applied. A report that is based on a version that was not applied here
+// cannot be used. It must be called with the lock held.
+func (f *fleet) acceptReport(m *member, r *peerpb.VMReport) bool {
 	scope := topology.Scope(r.Scope)
 	if f.plan == nil || !f.plan.Accepts(topology.VM{Name: r.Vm, Domain: m.Domain}, scope) {
 		return false
 	}
-	if r.Since > 0 && (m.taken.scope != scope || r.Since > m.taken.version) {
+	if r.Since > 0 && (m.applied.scope != scope || r.Since > m.applied.version) {
 		return false
 	}
-	m.taken = progress{scope, r.Version}
+	m.applied = progress{scope, r.Version}
 	return true
 }
 
-// takeRoster takes in which VMs a hub vouches for. It must be called with the lock held.
-func (f *fleet) takeRoster(r *peerpb.VMReport) {
-	if r.Since == 0 || f.vouched[r.Vm] == nil {
-		f.vouched[r.Vm] = make(map[string]bool)
+// applyRoster applies the changes of the VMs that a hub lists as taking callers. It must be
+// called with the lock held.
+func (f *fleet) applyRoster(r *peerpb.VMReport) {
+	if r.Since == 0 || f.rosters[r.Vm] == nil {
+		f.rosters[r.Vm] = make(map[string]bool)
 	}
 	for _, vm := range r.Alive {
-		f.vouched[r.Vm][vm] = true
+		f.rosters[r.Vm][vm] = true
 	}
 	for _, vm := range r.Silent {
-		delete(f.vouched[r.Vm], vm)
+		delete(f.rosters[r.Vm], vm)
 		if other := f.members[vm]; other != nil {
 			other.ready = false
 		}
 	}
 }
 
-// startedAgain notes that a VM has started anew, from its own report. The store tells it up
-// to two seconds later in a large fleet, and when all VMs start at once, each would until
-// then count nothing of what the others admit: a team got three times its rate for 1.5 s.
-// It must be called with the lock held.
-func (f *fleet) startedAgain(m *member, r *peerpb.VMReport, now time.Time) *member {
-	next := &member{registration: m.registration, registered: m.registered, revision: m.revision, started: now, calling: m.calling}
+// recordRestart replaces a member whose report shows that it has restarted. In a large fleet
+// the store delivers the new registration up to two seconds later. If all VMs restart at
+// once, each would ignore until then what the others admit: a team got three times its rate
+// for 1.5 s. It must be called with the lock held.
+func (f *fleet) recordRestart(m *member, r *peerpb.VMReport, now time.Time) *member {
+	next := &member{registration: m.registration, registered: m.registered, revision: m.revision, firstSeen: now, exchanging: m.exchanging}
 	next.Incarnation, next.Callers, next.Peers = r.Incarnation, r.CallerAddress, r.PeerAddress
 	f.members[r.Vm] = next
-	f.rearrange = true
-	f.p.planner.contents.forget(r.Vm)
+	f.planOutdated = true
+	f.process.planner.contents.forget(r.Vm)
 	return next
 }
 
-// takeWork takes in what the VMs do that a report covers.
-func (f *fleet) takeWork(r *peerpb.VMReport, near bool, now time.Time) {
-	if !f.sums.take(r, near, now) {
-		f.askForAll(r.Vm)
+// applyWork applies the counters and loads of a report.
+func (f *fleet) applyWork(r *peerpb.VMReport, sameDomain bool, now time.Time) {
+	if !f.aggregator.applyReport(r, sameDomain, now) {
+		f.requestFullReport(r.Vm)
 		return
 	}
-	f.p.assigner.SetOthers(r.Vm, f.sums.loadsAt(r.Vm), now)
-	f.p.limiter.Report(r.Vm, r.Incarnation, r.Admitted, r.Asked, now)
-	f.p.planner.heardDemand(r.Vm, r.Incarnation, demandOf(r.Demand), now)
-	f.p.planner.heardUse(r.InUse, now)
+	f.process.assigner.SetOthers(r.Vm, f.aggregator.loadsFrom(r.Vm), now)
+	f.process.limiter.Report(r.Vm, r.Incarnation, r.Admitted, r.Asked, now)
+	f.process.planner.heardDemand(r.Vm, r.Incarnation, demandFromProto(r.Demand), now)
+	f.process.planner.heardUse(r.InUse, now)
 }
 
-// askForAll makes a VM tell everything in its next report.
-func (f *fleet) askForAll(vm string) {
+// requestFullReport makes a VM's next report complete instead of incremental.
+func (f *fleet) requestFullReport(vm string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.members[vm]; m != nil {
-		m.taken = progress{}
+		m.applied = progress{}
 	}
 }
--- a/internal/vm/roster.go
+++ b/internal/vm/roster.go
@@ -5,48 +5,50 @@
 	"github.com/chestnutarch/chestnutarch/internal/topology"
 )
 
-// roster is which VMs a hub vouches for: those that take callers, as it hears from themselves
-// or from the hubs of their domains. Each report would else name all of the fleet.
+// roster records the VMs that a hub lists as taking callers, from their own reports or those
+// of other hubs. It numbers the changes, since otherwise each report would have to list all
+// VMs of the fleet.
 type roster struct {
 	version *aggregate.Version
 	vms     map[string]rosterEntry
-	// forgotten is the number up to which VMs that are silent are not remembered.
-	forgotten uint64
+	// compactedVersion is the version up to which removals are no longer known.
+	compactedVersion uint64
 }
 
 type rosterEntry struct {
-	// near VMs are of the own failure domain.
-	near, alive bool
-	changed     uint64
+	// sameDomain is set for VMs of this VM's failure domain.
+	sameDomain, alive bool
+	changedAt         uint64
 }
 
 func newRoster(version *aggregate.Version) *roster {
 	return &roster{version: version, vms: make(map[string]rosterEntry)}
 }
 
-// set notes whether a VM takes callers.
-func (r *roster) set(vm string, near, alive bool) {
+// set records whether a VM takes callers.
+func (r *roster) set(vm string, sameDomain, alive bool) {
 	e, known := r.vms[vm]
-	if (known || alive) && (e.alive != alive || e.near != near) {
-		r.vms[vm] = rosterEntry{near: near, alive: alive, changed: r.version.Next()}
+	if (known || alive) && (e.alive != alive || e.sameDomain != sameDomain) {
+		r.vms[vm] = rosterEntry{sameDomain: sameDomain, alive: alive, changedAt: r.version.Next()}
 	}
 }
 
-// maxSilent is how many VMs may be remembered that take no callers, beyond as many as do.
-const maxSilent = 64
+// maxRemovedEntries is the number of entries kept for VMs that take no callers, in addition
+// to half the size of the roster.
+const maxRemovedEntries = 64
 
-// keep notes that VMs that are not among the known ones take no callers, and forgets those
-// that are silent once they are many.
-func (r *roster) keep(known func(vm string) bool) {
+// removeUnknown records that VMs for which known returns false take no callers. Once there
+// are too many entries of VMs that take no callers, it drops them all.
+func (r *roster) removeUnknown(known func(vm string) bool) {
 	silent := 0
 	for vm, e := range r.vms {
 		if e.alive && known(vm) {
 			continue
 		}
-		r.set(vm, e.near, false)
+		r.set(vm, e.sameDomain, false)
 		silent++
 	}
-	if silent <= maxSilent+len(r.vms)/2 {
+	if silent <= maxRemovedEntries+len(r.vms)/2 {
 		return
 	}
 	for vm, e := range r.vms {
@@ -54,22 +56,22 @@
 			delete(r.vms, vm)
 		}
 	}
-	r.forgotten = r.version.Number()
+	r.compactedVersion = r.version.Number()
 }
 
-// remembers reports whether all changes since a number are remembered.
-func (r *roster) remembers(number uint64) bool { return number >= r.forgotten }
+// covers reports whether all changes since a version are still known.
+func (r *roster) covers(version uint64) bool { return version >= r.compactedVersion }
 
-// since names the VMs that take callers, or do so no more, as they have changed since a
-// number; since zero, all that do.
-func (r *roster) since(scope topology.Scope, number uint64, except string) (alive, silent []string) {
+// since returns the VMs that have started or stopped taking callers since a version; since
+// version zero, all that take callers.
+func (r *roster) since(scope topology.Scope, version uint64, except string) (alive, silent []string) {
 	for vm, e := range r.vms {
-		if vm == except || e.changed <= number || (scope == topology.ScopeDomain && !e.near) {
+		if vm == except || e.changedAt <= version || (scope == topology.ScopeDomain && !e.sameDomain) {
 			continue
 		}
 		if e.alive {
 			alive = append(alive, vm)
-		} else if number > 0 {
+		} else if version > 0 {
 			silent = append(silent, vm)
 		}
 	}
