--- a/cmd/chestnut-vm/main.go
+++ b/cmd/chestnut-vm/main.go
@@ -1,5 +1,5 @@
-// Command chestnut-vm runs on every entry VM of the users' platform: it carries
-// callers' requests, and on one VM it gives orders to engines as well.
+// Command chestnut-vm runs on every entry VM of the users' platform: it serves callers'
+// requests, and on the leader it also sends orders to engines.
 package main
 
 import "C" // links the program to the C library
@@ -51,13 +51,13 @@
 func run(ctx context.Context, s *platform.Settings, logs telemetry.LogSettings) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	lines := telemetry.NewBounded(os.Stdout)
-	writing, stopWriting := context.WithCancel(context.WithoutCancel(ctx))
+	output := telemetry.NewBounded(os.Stdout)
+	writerCtx, stopWriter := context.WithCancel(context.WithoutCancel(ctx))
 	var writer sync.WaitGroup
-	writer.Go(func() { lines.Run(writing) })
+	writer.Go(func() { output.Run(writerCtx) })
 	defer writer.Wait()
-	defer stopWriting()
-	log := telemetry.NewLogger(lines, logs).With().Str("vm", s.VM).Logger()
+	defer stopWriter()
+	log := telemetry.NewLogger(output, logs).With().Str("vm", s.VM).Logger()
 	p, err := vm.New(s, log)
 	if err != nil {
 		return err
