--- a/internal/quota/admission.go
+++ b/internal/quota/admission.go
@@ -6,8 +6,8 @@
 	"github.com/chestnutarch/chestnutarch/internal/clock"
 )
 
-// Acquire asks to charge tokens to a team. A Verdict with the request's number
-// follows at once, or after other VMs were asked.
+// Acquire requests to charge tokens to a team. A Verdict with the request's number
+// follows immediately, or after other VMs were asked for loans.
 func (m *Machine) Acquire(now clock.Reading, request uint64, team string, tokens int64) {
 	a, known := m.teams[team]
 	if !known {
@@ -30,12 +30,13 @@
 		m.refuse(request, tokens, CauseOverRate, m.retryAfter(now, a, amount))
 		return
 	}
-	a.queue = append(a.queue, waiting{request: request, amount: amount, since: now.Mono, deadline: now.Mono + m.cfg.MaxWait})
+	a.queue = append(a.queue, queuedRequest{request: request, amount: amount, since: now.Mono, deadline: now.Mono + m.cfg.MaxWait})
 	m.serveQueue(now, a)
 }
 
-// Settle corrects a charge: a positive difference goes back to the team, a
-// negative one becomes a debt that this VM's accrual pays off first.
+// Settle corrects a charge by a difference in tokens. A positive difference is
+// refunded to the team; a negative one becomes a debt, which this VM's accrual pays
+// off first.
 func (m *Machine) Settle(now clock.Reading, team string, difference int64) {
 	a, known := m.teams[team]
 	if !known {
@@ -46,8 +47,8 @@
 	m.serveQueue(now, a)
 }
 
-// Cancel forgets a request whose caller no longer waits. It reports false if the
-// verdict was given already.
+// Cancel removes a queued request whose caller no longer waits. It returns false if
+// the request is not queued, for example because its verdict was given already.
 func (m *Machine) Cancel(request uint64) bool {
 	for _, a := range m.teams {
 		for i, w := range a.queue {
@@ -62,16 +63,16 @@
 
 func (m *Machine) admit(request uint64, tokens int64) {
 	m.stats.AdmittedTokens += tokens
-	m.do(Verdict{Request: request, Admitted: true})
+	m.emit(Verdict{Request: request, Admitted: true})
 }
 
 func (m *Machine) refuse(request uint64, tokens int64, cause Cause, retryAfter time.Duration) {
 	m.stats.RefusedTokens += tokens
 	m.stats.Refused[cause]++
-	m.do(Verdict{Request: request, Cause: cause, RetryAfter: retryAfter})
+	m.emit(Verdict{Request: request, Cause: cause, RetryAfter: retryAfter})
 }
 
-// refuseAll refuses every request that waits.
+// refuseAll refuses every queued request of an account.
 func (m *Machine) refuseAll(a *account, cause Cause) {
 	for _, w := range a.queue {
 		m.refuse(w.request, w.amount/NanoPerToken, cause, 0)
@@ -79,8 +80,9 @@
 	a.queue = nil
 }
 
-// serveQueue admits those that wait, in their order, as far as the balance goes,
-// refuses those whose time is up, and asks other VMs on behalf of the first.
+// serveQueue admits queued requests in order as far as the balance covers them,
+// refuses those whose deadline has passed or for which no tokens can be expected, and
+// asks other VMs for loans on behalf of the first one that remains.
 func (m *Machine) serveQueue(now clock.Reading, a *account) {
 	for len(a.queue) > 0 {
 		head := a.queue[0]
@@ -104,7 +106,7 @@
 	}
 }
 
-// popHead takes the first request out of the queue and ends its collection.
+// popHead removes the first request from the queue and ends its collection.
 func (m *Machine) popHead(now clock.Reading, a *account) {
 	a.queue = a.queue[1:]
 	if len(a.queue) == 0 {
@@ -113,7 +115,8 @@
 	m.endCollection(now, a)
 }
 
-// retryAfter estimates when the fleet will have the amount.
+// retryAfter estimates how long the whole rate takes to accrue what is missing from
+// an amount in nano-tokens. It returns at least MaxWait.
 func (m *Machine) retryAfter(now clock.Reading, a *account, amount int64) time.Duration {
 	missing := amount - max(a.bucket.Level(now.Mono), 0)
 	if missing <= 0 || a.limit.Rate == 0 {
@@ -122,8 +125,9 @@
 	return max(time.Duration(missing/a.limit.Rate), m.cfg.MaxWait)
 }
 
-// shortageCause says why an amount cannot be charged: the team's doing if the
-// VMs together are not known to have it, else ours.
+// shortageCause returns the cause for refusing an amount in nano-tokens:
+// CauseNoAuthority if this VM has no units, CauseOverRate if the estimated balances of
+// all VMs together do not cover the amount, else CausePartShort.
 func (m *Machine) shortageCause(now clock.Reading, a *account, amount int64) Cause {
 	if a.units() == 0 {
 		return CauseNoAuthority
--- a/internal/quota/bucket_test.go
+++ b/internal/quota/bucket_test.go
@@ -18,14 +18,14 @@
 	require.False(t, b.Take(wait-2, 5*NanoPerToken))
 	require.True(t, b.Take(wait, 5*NanoPerToken))
 	_, possible = b.Wait(wait, depth+1)
-	require.False(t, possible, "more than the depth never fits")
+	require.False(t, possible, "the balance never covers more than the depth")
 	b.Adjust(wait, -30*NanoPerToken)
-	require.Negative(t, b.Level(wait+time.Second), "a debt outlasts a second of accrual")
+	require.Negative(t, b.Level(wait+time.Second), "a debt of 30 tokens takes more than one second to pay off")
 	require.Equal(t, depth, b.Level(time.Hour))
 	b.Reshape(time.Hour, rate, depth/2)
 	require.Equal(t, depth/2, b.Level(time.Hour))
 	b.Adjust(time.Hour, depth)
-	require.Equal(t, depth/2, b.Level(time.Hour), "a refund never fills beyond the depth")
+	require.Equal(t, depth/2, b.Level(time.Hour), "a refund must not raise the balance above the depth")
 }
 
 func TestMulDivDoesNotOverflow(t *testing.T) {
--- a/internal/quota/collection.go
+++ b/internal/quota/collection.go
@@ -9,83 +9,87 @@
 )
 
 const (
-	// collectRetry is the pause after another collector was in the way. It
-	// differs between VMs by their numbers' low bits, so that two do not meet
-	// again and again.
-	collectRetry = 5 * time.Millisecond
-	retrySpread  = 8
-	// plenty is how many times the missing amount the others must seem to have
-	// for a small request to be collected for.
-	plenty = 4
-	// collectAgain is when the lenders are asked again for what accrued meanwhile.
-	collectAgain = 20 * time.Millisecond
-	// collectPause is the least time between a collection that found too little
-	// and the next one.
-	collectPause = 100 * time.Millisecond
+	// collectRetry is the unit of the pause after a collision with another
+	// collector. The low bits of the VM's next sequence number choose a multiple of
+	// 1 to collectRetrySpread, so that two VMs do not collide again and again.
+	collectRetry       = 5 * time.Millisecond
+	collectRetrySpread = 8
+	// smallCollectionFactor is how many times the missing amount the other VMs must
+	// be estimated to have before a collection starts for a small request.
+	smallCollectionFactor = 4
+	// collectRepeatPause is the pause before the lenders are asked again for tokens
+	// accrued meanwhile.
+	collectRepeatPause = 20 * time.Millisecond
+	// collectCooldown is the minimum time between the end of a collection that found
+	// too little and the start of the next one.
+	collectCooldown = 100 * time.Millisecond
 )
 
-// collection gathers the tokens for one request from several lenders. All VMs
-// ask in the order of VM IDs and stop where another collector was before them.
-// Without the fixed order two large requests could hold half of the tokens each
-// and both be refused, although there was enough for one.
+// collection gathers the tokens for one request from several lenders. All VMs ask
+// lenders in the order of VM IDs, and pause at a lender that another collector has
+// reached first. Without the fixed order, two large requests could hold half of the
+// tokens each and both be refused, although there are enough tokens for one of them.
 type collection struct {
 	request uint64
-	// order is the ID of the lender that is being asked.
-	order string
-	// pausedUntil is set after another collector was in the way, or until more
-	// has accrued.
+	// currentLender is the VM ID of the lender that was asked last.
+	currentLender string
+	// pausedUntil is set after a collision with another collector, or while waiting
+	// for further accrual. It is zero if the collection is not paused.
 	pausedUntil time.Duration
-	// complete means that every lender was asked.
-	complete bool
+	// allAsked means that every lender was asked.
+	allAsked bool
 }
 
-// startCollection asks the first lender, and gives the request more time. It
-// returns false if the request is not worth it: a small one is soon sent again,
-// and under several times the rate every one of them would ask every VM.
-func (m *Machine) startCollection(now clock.Reading, a *account, head waiting, missing int64) bool {
-	if a.isSmall(head.amount) && m.estimateElsewhere(now, a) < plenty*missing {
+// tryCollection starts a collection for the first request in the queue if it is
+// worthwhile. It returns false if the request should be refused instead: the caller
+// soon retries a small request, and under a load of several times the rate every small
+// request would ask every VM.
+func (m *Machine) tryCollection(now clock.Reading, a *account, head queuedRequest, missing int64) bool {
+	if a.isSmall(head.amount) && m.estimateElsewhere(now, a) < smallCollectionFactor*missing {
 		return false
 	}
 	if now.Mono < a.nextCollection {
 		return a.nextCollection < head.deadline
 	}
-	m.collectFor(now, a, head)
+	m.beginCollection(now, a, head)
 	return true
 }
 
-// isSmall reports whether an amount fits one slot's part of the burst.
+// isSmall reports whether an amount in nano-tokens fits one slot's share of the burst.
 func (a *account) isSmall(amount int64) bool {
-	return amount <= a.capOf(UnitsPerSlot)
+	return amount <= a.burstShare(UnitsPerSlot)
 }
 
-// collectFor begins a collection for the first request in the queue.
-func (m *Machine) collectFor(now clock.Reading, a *account, head waiting) {
+// beginCollection starts a collection for the first request in the queue, and extends
+// the deadline of a large request to MaxCollect after its arrival.
+func (m *Machine) beginCollection(now clock.Reading, a *account, head queuedRequest) {
 	m.stats.Collections++
 	if !a.isSmall(head.amount) {
 		a.queue[0].deadline = head.since + m.cfg.MaxCollect
 	}
-	a.collect = &collection{request: head.request}
+	a.collection = &collection{request: head.request}
 	m.collectNext(now, a)
 }
 
-// collectNext asks the next lender in the order.
+// collectNext asks the next lender in the order of VM IDs.
 func (m *Machine) collectNext(now clock.Reading, a *account) {
-	c := a.collect
+	c := a.collection
 	for _, vm := range slices.Sorted(maps.Keys(a.lenders)) {
-		if vm <= c.order || !m.peers[vm].Heard {
+		if vm <= c.currentLender || !m.peers[vm].Heard {
 			continue
 		}
-		c.order = vm
+		c.currentLender = vm
 		missing := a.queue[0].amount - a.bucket.Level(now.Mono)
-		m.ask(now, a, vm, Ask{Units: a.unitsFor(missing), Balance: missing, Collect: true})
+		m.sendAsk(now, a, vm, Ask{Units: a.unitsForAmount(missing), Balance: missing, Collect: true})
 		return
 	}
-	c.complete = true
+	c.allAsked = true
 }
 
-// continueCollection goes on after an answer.
+// continueCollection asks the next lender after an answer, or pauses if another
+// collector has the lender's tokens.
 func (m *Machine) continueCollection(now clock.Reading, a *account, msg Answer) {
-	c := a.collect
+	c := a.collection
 	if c == nil || len(a.queue) == 0 || c.pausedUntil != 0 {
 		return
 	}
@@ -93,97 +97,99 @@
 		m.pauseCollection(now, a)
 		return
 	}
-	if c.complete || a.bucket.Level(now.Mono) >= a.queue[0].amount {
+	if c.allAsked || a.bucket.Level(now.Mono) >= a.queue[0].amount {
 		return
 	}
 	m.collectNext(now, a)
 }
 
-// pauseCollection gives everything back, so that the other collector gets it.
+// pauseCollection returns everything collected, so that the other collector can
+// obtain it.
 func (m *Machine) pauseCollection(now clock.Reading, a *account) {
 	m.returnCollected(now, a)
-	a.collect.pausedUntil = now.Mono + collectRetry*time.Duration(1+m.nextNumber()%retrySpread)
-	a.collect.order = ""
+	a.collection.pausedUntil = now.Mono + collectRetry*time.Duration(1+m.nextNumber()%collectRetrySpread)
+	a.collection.currentLender = ""
 }
 
-// collectionTick goes on when a pause is over or an answer did not come, and
-// ends a collection that found too little.
+// collectionTick continues the collection after a pause or a missing answer, and
+// finishes it after every lender was asked.
 func (m *Machine) collectionTick(now clock.Reading, a *account) {
-	c := a.collect
+	c := a.collection
 	if c == nil || len(a.queue) == 0 {
 		return
 	}
 	switch {
 	case c.pausedUntil != 0 && now.Mono >= c.pausedUntil:
-		c.pausedUntil, c.order, c.complete = 0, "", false
+		c.pausedUntil, c.currentLender, c.allAsked = 0, "", false
 		m.collectNext(now, a)
-	case c.pausedUntil != 0 || m.asksUnderWay(now, a):
-	case !c.complete:
+	case c.pausedUntil != 0 || m.hasPendingAsks(now, a):
+	case !c.allAsked:
 		m.collectNext(now, a)
 	default:
 		m.finishCollection(now, a)
 	}
 }
 
-// finishCollection is called when every lender has given what it had. What is
-// still missing may accrue in time, at this VM or at the lenders, which are then
-// asked again; meanwhile nothing is returned. Else the request is refused.
+// finishCollection is called after every lender was asked and the balance does not
+// cover the request. If the missing tokens can accrue before the deadline, at this VM
+// or at the lenders, it keeps what was collected; the lenders are then asked again.
+// Otherwise it refuses the request.
 func (m *Machine) finishCollection(now clock.Reading, a *account) {
 	head := a.queue[0]
 	if wait, possible := a.bucket.Wait(now.Mono, head.amount); possible && now.Mono+wait < head.deadline {
 		return
 	}
 	missing := head.amount - a.bucket.Level(now.Mono)
-	left := max(head.deadline-now.Mono-collectAgain, 0)
-	if missing <= mulDiv(a.limit.Rate*NanoPerToken, int64(left), int64(time.Second)) {
-		a.collect.pausedUntil = now.Mono + collectAgain
+	timeLeft := max(head.deadline-now.Mono-collectRepeatPause, 0)
+	if missing <= mulDiv(a.limit.Rate*NanoPerToken, int64(timeLeft), int64(time.Second)) {
+		a.collection.pausedUntil = now.Mono + collectRepeatPause
 		return
 	}
-	a.nextCollection = now.Mono + collectPause
+	a.nextCollection = now.Mono + collectCooldown
 	cause := m.shortageCause(now, a, head.amount)
 	retryAfter := m.retryAfter(now, a, head.amount)
 	m.popHead(now, a)
 	m.refuse(head.request, head.amount/NanoPerToken, cause, retryAfter)
 }
 
-// endCollection gives back what was collected, after the request was served or
-// refused.
+// endCollection returns what was collected, after the request was admitted or refused.
 func (m *Machine) endCollection(now clock.Reading, a *account) {
-	if a.collect == nil {
+	if a.collection == nil {
 		return
 	}
-	a.collect = nil
+	a.collection = nil
 	m.returnCollected(now, a)
 }
 
 func (m *Machine) returnCollected(now clock.Reading, a *account) {
-	for _, number := range a.borrowed.sortedLoans() {
+	for _, number := range a.borrowed.sortedLoanNumbers() {
 		if a.borrowed.loans[number].collect {
-			m.giveBack(now, a, number)
+			m.returnLoan(now, a, number)
 		}
 	}
 }
 
-// probe collects although the last answers leave no hope, if they are old enough
-// for the lenders to have what is missing by now. It does so seldom, because
-// under several times the rate there is never any hope.
-func (m *Machine) probe(now clock.Reading, a *account, head waiting, missing int64) bool {
+// probe starts a collection although the estimates are below the missing amount, if
+// the last answers are old enough for the lenders' shares of the rate to have accrued
+// that amount by now. collectCooldown limits how often it does so, because under a load
+// of several times the rate the missing amount is never available.
+func (m *Machine) probe(now clock.Reading, a *account, head queuedRequest, missing int64) bool {
 	if now.Mono < a.nextCollection {
 		return false
 	}
-	most := int64(0)
+	available := int64(0)
 	for vm, view := range a.lenders {
 		if !m.peers[vm].Heard {
 			continue
 		}
 		units := view.slots * UnitsPerSlot
 		rate := mulDiv(a.limit.Rate*NanoPerToken, units, Units)
-		accrued := mulDiv(rate, int64(now.Mono-view.at), int64(time.Second))
-		most += min(view.left+accrued, a.capOf(units))
+		accrued := mulDiv(rate, int64(now.Mono-view.answeredAt), int64(time.Second))
+		available += min(view.balance+accrued, a.burstShare(units))
 	}
-	if most < missing {
+	if available < missing {
 		return false
 	}
-	m.collectFor(now, a, head)
+	m.beginCollection(now, a, head)
 	return true
 }
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,4 +1,4 @@
-// Package quota decides what each VM may admit so that no team gets more than
-// its rate and burst over all VMs together. It does no I/O: events and the
-// present time go in, actions come out.
+// Package quota decides which requests each VM may admit, so that no team exceeds
+// its rate and burst over all VMs together. It performs no I/O: callers pass in
+// events with the current time, and carry out the actions that it returns.
 package quota
--- a/internal/quota/export_test.go
+++ b/internal/quota/export_test.go
@@ -1,9 +1,9 @@
 package quota
 
-// Fault names a rule that a test breaks on purpose.
+// Fault identifies a rule of the protocol that a test breaks on purpose.
 type Fault string
 
-// The faults that the oracle must find.
+// The faults that the oracle must detect.
 const (
 	FaultAuthorityFromAnswer Fault = "authority counted from the answer"
 	FaultNoClosingWait       Fault = "no wait before an authority counts as ended"
@@ -13,8 +13,8 @@
 	FaultPromiseAfterConsent Fault = "promise after consent to close"
 )
 
-// Break breaks a rule.
-func (m *Machine) Break(f Fault) {
+// InjectFault makes the machine violate the rule of a fault.
+func (m *Machine) InjectFault(f Fault) {
 	switch f {
 	case FaultAuthorityFromAnswer:
 		m.faults.authorityFromAnswer = true
--- a/internal/quota/fuzz_test.go
+++ b/internal/quota/fuzz_test.go
@@ -14,8 +14,8 @@
 	"github.com/chestnutarch/chestnutarch/internal/quota/quotaloop"
 )
 
-// The seed is fixed so that every run gives the same verdict. Long fuzzing sets
-// -rapid.seed and -rapid.checks on the command line, see docs/TESTING.md.
+// TestMain fixes the seed so that every run gives the same result. For long fuzzing,
+// -rapid.seed and -rapid.checks are set on the command line, see docs/TESTING.md.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "30")
@@ -23,15 +23,16 @@
 	os.Exit(m.Run())
 }
 
-// trial is a fleet's fate: its size, its network and a list of mishaps.
+// trial describes one simulated run: the size of the fleet, its network and a sequence
+// of faults.
 type trial struct {
 	options quotaloop.Options
-	// load is the demand in percent of the rate.
+	// load is the total demand in percent of the rate.
 	load  int
-	steps []step
+	steps []faultStep
 }
 
-type step struct {
+type faultStep struct {
 	kind   int
 	vm     int
 	other  int
@@ -39,7 +40,7 @@
 	gap    time.Duration
 }
 
-// The kinds of mishap.
+// The kinds of fault step.
 const (
 	kill = iota
 	restart
@@ -57,17 +58,17 @@
 	lossyNetwork
 	storeCut
 	isolate
-	kinds
+	kindCount
 )
 
 func drawTrial(t *rapid.T) trial {
 	vms := rapid.IntRange(1, 7).Draw(t, "vms")
 	tr := trial{
-		options: calm(rapid.Uint64().Draw(t, "seed"), vms),
+		options: faultFreeOptions(rapid.Uint64().Draw(t, "seed"), vms),
 		load:    rapid.SampledFrom([]int{90, 150, 400}).Draw(t, "load"),
 	}
 	tr.options.Tick = 20 * time.Millisecond
-	// A small burst leaves the fleet little slack to hide a breach in.
+	// With a small burst, the oracle detects a small over-admission too.
 	tr.options.Burst = rapid.SampledFrom([]int64{burst, burst / 10}).Draw(t, "burst")
 	tr.options.Store.Delay = rapid.SampledFrom([]time.Duration{time.Millisecond, 150 * time.Millisecond}).Draw(t, "store delay")
 	tr.options.Network.Repeat = rapid.SampledFrom([]int{0, 20, 300}).Draw(t, "repeat")
@@ -75,8 +76,8 @@
 	tr.options.Network.Late = rapid.SampledFrom([]int{0, 50}).Draw(t, "late")
 	tr.options.Network.LateBy = rapid.SampledFrom([]time.Duration{50 * time.Millisecond, 8 * time.Second}).Draw(t, "late by")
 	for range rapid.IntRange(1, 14).Draw(t, "steps") {
-		tr.steps = append(tr.steps, step{
-			kind:   rapid.IntRange(0, kinds-1).Draw(t, "kind"),
+		tr.steps = append(tr.steps, faultStep{
+			kind:   rapid.IntRange(0, kindCount-1).Draw(t, "kind"),
 			vm:     rapid.IntRange(0, vms-1).Draw(t, "vm"),
 			other:  rapid.IntRange(0, vms-1).Draw(t, "other"),
 			length: time.Duration(rapid.IntRange(1, 20_000).Draw(t, "ms")) * time.Millisecond,
@@ -86,27 +87,29 @@
 	return tr
 }
 
-// run plays a trial and returns the first breach of the bound.
+// run runs a trial with the given faults injected, and returns the first violation of
+// the bound on admitted tokens.
 func (tr trial) run(faults ...quota.Fault) error {
 	options := tr.options
 	options.Hook = func(m *quota.Machine) {
 		for _, f := range faults {
-			m.Break(f)
+			m.InjectFault(f)
 		}
 	}
 	w := quotaloop.New(options)
 	rng := rand.New(rand.NewPCG(options.Seed, 2))
-	tr.arrive(w, rng)
+	tr.scheduleArrivals(w, rng)
 	at := 12 * time.Second
 	for _, s := range tr.steps {
 		at += s.gap
-		w.At(at, func() { s.do(w, rng) })
+		w.At(at, func() { s.apply(w, rng) })
 	}
 	return w.Run(at + 25*time.Second)
 }
 
-// arrive lets requests come in at one VM or at all of them, in turns.
-func (tr trial) arrive(w *quotaloop.World, rng *rand.Rand) {
+// scheduleArrivals sends one request and schedules the next. Phases of 3 s with all
+// requests at one VM alternate with phases with requests at random VMs.
+func (tr trial) scheduleArrivals(w *quotaloop.World, rng *rand.Rand) {
 	size := int64(1 + rng.IntN(rate/10))
 	if rng.IntN(20) == 0 {
 		size = 1 + rng.Int64N(tr.options.Burst)
@@ -117,10 +120,10 @@
 	}
 	w.Acquire(quotaloop.VM(vm), size)
 	mean := time.Duration(size) * time.Second * 100 / time.Duration(rate*tr.load)
-	w.At(w.Now+time.Duration(rng.ExpFloat64()*float64(mean)), func() { tr.arrive(w, rng) })
+	w.At(w.Now+time.Duration(rng.ExpFloat64()*float64(mean)), func() { tr.scheduleArrivals(w, rng) })
 }
 
-func (s step) do(w *quotaloop.World, rng *rand.Rand) {
+func (s faultStep) apply(w *quotaloop.World, rng *rand.Rand) {
 	vm, other := quotaloop.VM(s.vm), quotaloop.VM(s.other)
 	switch s.kind {
 	case kill:
@@ -166,8 +169,8 @@
 	}
 }
 
-// Any mishap may befall the fleet at any time, and any two of them together. A
-// team that got more than its rate and burst would slow every other team down.
+// Guards against admitting more than a team's rate and burst under any sequence of
+// faults, also overlapping ones. Such a team would slow down every other team.
 func TestNeverMoreThanRateAndBurst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		require.NoError(t, drawTrial(t).run())
--- a/internal/quota/lenders.go
+++ b/internal/quota/lenders.go
@@ -6,32 +6,33 @@
 	"github.com/chestnutarch/chestnutarch/internal/clock"
 )
 
-// findEvery is how often a VM without the assignment asks the others what they have.
-const findEvery = 300 * time.Millisecond
+// discoveryInterval is how often a VM that has not read the assignment asks the other
+// VMs for their balances.
+const discoveryInterval = 300 * time.Millisecond
 
-// findLenders asks the VMs that are heard what they have, while the assignment
-// is not known. A VM that restarts during an outage of the key-value service
-// would otherwise know of no lender and refuse every request.
-func (m *Machine) findLenders(now clock.Reading, a *account) {
-	if m.shares.known || now.Mono < a.nextFind {
+// discoverLenders asks the VMs that should hold slots for their balances until this VM
+// has read the assignment. A VM that restarts during an outage of the key-value service
+// would otherwise have no lenders and refuse every request.
+func (m *Machine) discoverLenders(now clock.Reading, a *account) {
+	if m.assignment.known || now.Mono < a.nextDiscovery {
 		return
 	}
-	a.nextFind = now.Mono + findEvery
-	for _, vm := range m.heardVMs() {
+	a.nextDiscovery = now.Mono + discoveryInterval
+	for _, vm := range m.otherHolderVMs() {
 		view, known := a.lenders[vm]
 		if !known {
-			view = &lenderView{at: now.Mono}
+			view = &lenderView{answeredAt: now.Mono}
 			a.lenders[vm] = view
 		}
-		view.hinted = now.Mono
-		if m.askable(now, a, vm, view) {
-			m.ask(now, a, vm, Ask{Ahead: true})
+		view.hintedAt = now.Mono
+		if m.canAsk(now, a, vm, view) {
+			m.sendAsk(now, a, vm, Ask{Ahead: true})
 		}
 	}
 }
 
-// heardVMs lists other VMs that are heard, no more than there are holders.
-func (m *Machine) heardVMs() []string {
+// otherHolderVMs returns the IDs of the other VMs that should hold slots.
+func (m *Machine) otherHolderVMs() []string {
 	var vms []string
 	for _, h := range m.holders {
 		if h.VM != m.cfg.Self.VM {
@@ -41,26 +42,26 @@
 	return vms
 }
 
-// updateLenders takes over the holders of the assignment. VMs that hold no slots
-// but were named as borrowers stay for a while.
+// updateLenders updates the lenders from the assignment. VMs that hold no slots stay
+// for LoanTTL after they were last named as a borrower or selected by discoverLenders.
 func (m *Machine) updateLenders(now clock.Reading, a *account) {
 	for vm, view := range a.lenders {
-		view.slots = m.shares.slotsOn(vm)
-		if view.slots == 0 && now.Mono-view.hinted >= m.cfg.LoanTTL {
+		view.slots = m.assignment.slotsOnVM(vm)
+		if view.slots == 0 && now.Mono-view.hintedAt >= m.cfg.LoanTTL {
 			delete(a.lenders, vm)
 		}
 	}
-	for _, s := range m.shares.current.Shares {
+	for _, s := range m.assignment.current.Shares {
 		if _, known := a.lenders[s.VM]; known || s.VM == m.cfg.Self.VM {
 			continue
 		}
 		units := s.Slots * UnitsPerSlot
-		a.lenders[s.VM] = &lenderView{slots: s.Slots, left: a.capOf(units), idle: units, at: now.Mono}
+		a.lenders[s.VM] = &lenderView{slots: s.Slots, balance: a.burstShare(units), idle: units, answeredAt: now.Mono}
 	}
 }
 
-// noteHint remembers that a VM has borrowed from a lender, and so has tokens
-// beyond its slots.
+// noteHint records that a VM has borrowed from a lender and therefore may have tokens
+// beyond the share of its slots.
 func (m *Machine) noteHint(now clock.Reading, a *account, vm string) {
 	if vm == "" || vm == m.cfg.Self.VM {
 		return
@@ -70,29 +71,30 @@
 		view = &lenderView{}
 		a.lenders[vm] = view
 	}
-	if now.Mono-view.hinted < hintEvery {
+	if now.Mono-view.hintedAt < hintInterval {
 		return
 	}
-	view.hinted = now.Mono
-	view.left = a.capOf(Units)
+	view.hintedAt = now.Mono
+	view.balance = a.burstShare(Units)
 	view.nextAsk = now.Mono
 }
 
-// estimate is the most that a lender is likely to have now, going by its last
-// answer and by what its demand left over then. An old answer says nothing of
-// the demand any more.
+// estimate returns the largest balance, in nano-tokens, that a lender is likely to have
+// now, based on the balance and the idle units in its last answer. An answer older than
+// answerValidity gives no information on the demand, so the lender's slots count as idle.
 func (m *Machine) estimate(now clock.Reading, a *account, view *lenderView) int64 {
 	units := view.idle
-	age := now.Mono - view.at
-	if age >= answerLasts {
+	age := now.Mono - view.answeredAt
+	if age >= answerValidity {
 		units = max(units, view.slots*UnitsPerSlot)
 	}
 	rate := mulDiv(a.limit.Rate*NanoPerToken, max(units, 0), Units)
 	accrued := mulDiv(rate, int64(age), int64(time.Second))
-	return max(view.left, min(view.left+accrued, a.capOf(max(view.slots*UnitsPerSlot, units))))
+	return max(view.balance, min(view.balance+accrued, a.burstShare(max(view.slots*UnitsPerSlot, units))))
 }
 
-// estimateElsewhere is the most that all lenders that are heard can have now.
+// estimateElsewhere returns the sum of the estimates of all lenders that are alive, in
+// nano-tokens.
 func (m *Machine) estimateElsewhere(now clock.Reading, a *account) int64 {
 	sum := int64(roundingSlack)
 	for vm, view := range a.lenders {
--- a/internal/quota/lending.go
+++ b/internal/quota/lending.go
@@ -6,12 +6,13 @@
 	"github.com/chestnutarch/chestnutarch/internal/clock"
 )
 
-// reserveTime is the demand, in time, that a lender keeps a balance for when a
-// peer is short. Without it two VMs would pass the same tokens to and fro.
+// reserveTime is the time of its own demand for which a lender keeps a balance when a
+// peer asks for a waiting request. Without it two VMs would pass the same tokens back
+// and forth.
 const reserveTime = 20 * time.Millisecond
 
-// onAsk lends what can be spared. The units and the balance are taken away
-// before the answer goes out.
+// onAsk lends units and balance that this VM can spare. Both are deducted before the
+// answer is sent.
 func (m *Machine) onAsk(now clock.Reading, from string, msg Ask) {
 	answer := Answer{Loan: msg.Loan, Team: msg.Team}
 	a, known := m.teams[msg.Team]
@@ -20,7 +21,7 @@
 		return
 	}
 	m.refresh(now, a)
-	answer.Busy = m.heldByOther(a, msg)
+	answer.Busy = m.collectedByOther(a, msg)
 	_, repeated := a.lent.loans[msg.Loan]
 	if !answer.Busy && !repeated {
 		answer.Units, answer.Balance = m.offer(now, a, msg)
@@ -42,13 +43,13 @@
 	}
 	answer.Left = max(a.bucket.Level(now.Mono), 0)
 	answer.Idle = a.idleUnits()
-	answer.LentTo = a.lent.largest()
+	answer.LentTo = a.lent.largestBorrower()
 	m.send(from, answer)
 }
 
-// loanTTL returns how long a number of further units may be lent: no longer than
-// the authority lasts that they come from, nor, where they are borrowed
-// themselves, than any loan that they may be part of.
+// loanTTL returns how long a number of further units may be lent: at most the remaining
+// time of the authority behind them and, if borrowed units are needed, of every loan
+// that they may come from.
 func (m *Machine) loanTTL(now clock.Reading, a *account, units int64) time.Duration {
 	ttl := m.cfg.LoanTTL
 	if a.ownUnits > 0 {
@@ -63,49 +64,50 @@
 	return ttl
 }
 
-// heldByOther reports whether the lender's tokens are being collected by another
-// VM, or by itself, so that a second collector must not take the rest.
-func (m *Machine) heldByOther(a *account, msg Ask) bool {
+// collectedByOther reports whether the lender's tokens are being collected by another
+// process or by the lender itself, so that a second collector must not get the rest.
+func (m *Machine) collectedByOther(a *account, msg Ask) bool {
 	if !msg.Collect {
 		return false
 	}
-	if c := a.collect; c != nil && (c.complete || c.order >= m.cfg.Self.VM) {
+	if c := a.collection; c != nil && (c.allAsked || c.currentLender >= m.cfg.Self.VM) {
 		return true
 	}
-	return a.lent.heldByOther(msg.Loan.Borrower)
+	return a.lent.collectedByOther(msg.Loan.Borrower)
 }
 
-// offer decides how many units and how much balance to lend.
+// offer returns how many units and how much balance, in nano-tokens, to lend.
 func (m *Machine) offer(now clock.Reading, a *account, msg Ask) (units, balance int64) {
 	free := a.units()
 	level := max(a.bucket.Level(now.Mono), 0)
 	if free == 0 || (!msg.Collect && len(a.queue) > 0) {
 		return 0, 0
 	}
-	keep := int64(0)
+	reserve := int64(0)
 	switch {
 	case msg.Ahead:
-		keep = a.capOf(free) / 2
+		reserve = a.burstShare(free) / 2
 	case !msg.Collect:
-		keep = mulDiv(a.demand*NanoPerToken, int64(reserveTime), int64(time.Second))
-	}
-	balance = min(msg.Balance, max(level-keep, 0), a.capOf(free))
-	units = min(max(min(msg.Units, a.spareUnits()), a.unitsFor(balance)), free)
-	balance = min(balance, a.capOf(units))
-	// Never less than in proportion, or the lender's own cap would clip the rest.
-	proportional := min(mulDiv(level, units, max(a.units(), 1)), a.capOf(units))
+		reserve = mulDiv(a.demand*NanoPerToken, int64(reserveTime), int64(time.Second))
+	}
+	balance = min(msg.Balance, max(level-reserve, 0), a.burstShare(free))
+	units = min(max(min(msg.Units, a.spareUnits()), a.unitsForAmount(balance)), free)
+	balance = min(balance, a.burstShare(units))
+	// The balance is at least in proportion to the units. With less, the lender's own
+	// reduced share of the burst could clip the remaining balance.
+	proportional := min(mulDiv(level, units, max(a.units(), 1)), a.burstShare(units))
 	return units, max(balance, proportional)
 }
 
-// onReturn takes back a loan with the balance that is left of it. One that has
-// ended already, or is returned twice, brings nothing.
+// onReturn takes back a loan with its remaining balance. A Return of a loan that has
+// expired or was returned already has no effect.
 func (m *Machine) onReturn(now clock.Reading, msg Return) {
 	a, known := m.teams[msg.Team]
 	if !known {
 		return
 	}
 	m.refresh(now, a)
-	if !a.lent.end(msg.Loan) {
+	if !a.lent.remove(msg.Loan) {
 		return
 	}
 	a.reshape(now)
@@ -113,7 +115,8 @@
 	m.serveQueue(now, a)
 }
 
-// onRenew lets a loan last longer unless the lender needs it itself.
+// onRenew extends a loan unless the lender needs the units itself, is leaving, or lent
+// them for a collection.
 func (m *Machine) onRenew(now clock.Reading, from string, msg Renew) {
 	answer := Renewed{Loan: msg.Loan, Team: msg.Team, Number: msg.Number}
 	a, known := m.teams[msg.Team]
@@ -124,8 +127,8 @@
 	m.refresh(now, a)
 	loan, lentOut := a.lent.loans[msg.Loan]
 	ttl := m.loanTTL(now, a, 0)
-	if lentOut && !loan.collect && ttl >= minLoanTTL && a.needUnits() <= a.units() && !m.leaving {
-		// The new term may end before the old one if the authority is about to.
+	if lentOut && !loan.collect && ttl >= minLoanTTL && a.neededUnits() <= a.units() && !m.leaving {
+		// The new term may end before the old one if the authority is about to expire.
 		if ttl > loan.ttl-elapsedAtLeast(loan.since, now) {
 			loan.ttl = ttl
 			loan.since = now
--- a/internal/quota/loans.go
+++ b/internal/quota/loans.go
@@ -6,9 +6,9 @@
 	"github.com/chestnutarch/chestnutarch/internal/clock"
 )
 
-// lent is a loan as its lender sees it. The lender had taken the units away from
-// itself before the message went out, so that a lost message loses tokens for a
-// while and never makes any.
+// lent is a loan at its lender. The lender deducts the units before it sends the
+// message, so that a lost message makes tokens unavailable for a while and never
+// creates any.
 type lent struct {
 	units   int64
 	ttl     time.Duration
@@ -16,7 +16,7 @@
 	collect bool
 }
 
-// lentLedger holds what a VM has lent of one team.
+// lentLedger holds the loans of one team that a VM has given. units is their sum.
 type lentLedger struct {
 	loans map[LoanID]*lent
 	units int64
@@ -27,8 +27,8 @@
 	l.units += loan.units
 }
 
-// end removes a loan and reports whether it was there.
-func (l *lentLedger) end(id LoanID) bool {
+// remove removes a loan and reports whether it was present.
+func (l *lentLedger) remove(id LoanID) bool {
 	loan, known := l.loans[id]
 	if !known {
 		return false
@@ -38,18 +38,19 @@
 	return true
 }
 
-// expire takes back the loans that their borrowers can no longer use. The
-// balance that went with them stays lost.
+// expire removes the loans that their borrowers can no longer use. The balance lent
+// with them is lost.
 func (l *lentLedger) expire(now clock.Reading, margin time.Duration) {
 	for id, loan := range l.loans {
 		if elapsedAtLeast(loan.since, now) >= loan.ttl+margin {
-			l.end(id)
+			l.remove(id)
 		}
 	}
 }
 
-// heldByOther reports whether the collection of another process has tokens.
-func (l *lentLedger) heldByOther(borrower Holder) bool {
+// collectedByOther reports whether a process other than the borrower has a loan for a
+// collection.
+func (l *lentLedger) collectedByOther(borrower Holder) bool {
 	for id, loan := range l.loans {
 		if loan.collect && id.Borrower != borrower {
 			return true
@@ -58,44 +59,45 @@
 	return false
 }
 
-// borrowed is a loan as its borrower sees it.
+// borrowed is a loan at its borrower.
 type borrowed struct {
 	lender string
 	units  int64
 	ttl    time.Duration
-	// asked is when the Ask or the last Renew that was answered had been sent.
-	asked clock.Reading
-	// renewing is the number of the Renew without an answer, sent at renewSent.
-	renewing  uint64
-	renewSent clock.Reading
-	collect   bool
+	// termStart is when the Ask, or the last Renew that extended the loan, was sent.
+	termStart clock.Reading
+	// renewNumber is the number of the Renew that was sent at renewSent and has not
+	// extended the loan yet, zero if there is none.
+	renewNumber uint64
+	renewSent   clock.Reading
+	collect     bool
 }
 
-// ask is an Ask without an answer.
-type ask struct {
+// pendingAsk is an Ask without an answer.
+type pendingAsk struct {
 	lender string
 	sent   clock.Reading
-	// units and balance are what was asked for.
+	// units and balance, in nano-tokens, are the amounts asked for.
 	units   int64
 	balance int64
 	collect bool
 }
 
-// fruitful reports whether an answer brought at least half of what was asked for.
-func (a ask) fruitful(msg Answer) bool {
+// isSatisfiedBy reports whether an answer lends at least half of what was asked for.
+func (a pendingAsk) isSatisfiedBy(msg Answer) bool {
 	if a.units == 0 && a.balance == 0 {
 		return true
 	}
 	return msg.Units > 0 && 2*msg.Units >= a.units && 2*msg.Balance >= a.balance
 }
 
-// borrowedLedger holds what a VM has borrowed of one team. Each number is
-// accepted once: were a repeated Answer taken in again, its tokens would be
-// used twice.
+// borrowedLedger holds the loans of one team that a VM has received, by loan number.
+// units is their sum. Each number is accepted once: if a repeated Answer were accepted
+// again, its tokens would be used twice.
 type borrowedLedger struct {
-	asks  map[uint64]ask
-	loans map[uint64]*borrowed
-	units int64
+	pendingAsks map[uint64]pendingAsk
+	loans       map[uint64]*borrowed
+	units       int64
 }
 
 func (b *borrowedLedger) add(number uint64, loan *borrowed) {
@@ -103,32 +105,33 @@
 	b.units += loan.units
 }
 
-func (b *borrowedLedger) end(number uint64) {
+func (b *borrowedLedger) remove(number uint64) {
 	if loan, known := b.loans[number]; known {
 		delete(b.loans, number)
 		b.units -= loan.units
 	}
 }
 
-// expire drops the loans that have ended and reports whether there were any.
+// expire removes the loans that have expired and reports whether there were any.
 func (b *borrowedLedger) expire(now clock.Reading) bool {
-	any := false
+	expired := false
 	for number, loan := range b.loans {
-		if clock.Elapsed(loan.asked, now) >= loan.ttl {
-			b.end(number)
-			any = true
+		if clock.Elapsed(loan.termStart, now) >= loan.ttl {
+			b.remove(number)
+			expired = true
 		}
 	}
-	return any
+	return expired
 }
 
-// remaining returns how long the loan lasts.
+// remaining returns the time until the loan expires, zero if it has expired.
 func (l *borrowed) remaining(now clock.Reading) time.Duration {
-	return max(l.ttl-clock.Elapsed(l.asked, now), 0)
+	return max(l.ttl-clock.Elapsed(l.termStart, now), 0)
 }
 
-// largest returns the borrower of the largest loan, if any.
-func (l *lentLedger) largest() string {
+// largestBorrower returns the VM ID of the borrower of the largest loan, or "" if there
+// is no loan.
+func (l *lentLedger) largestBorrower() string {
 	vm, most := "", int64(0)
 	for id, loan := range l.loans {
 		if loan.units > most || (loan.units == most && id.Borrower.VM < vm) {
@@ -138,17 +141,18 @@
 	return vm
 }
 
-// lenderView is what a VM remembers of a lender of one team.
+// lenderView is what a VM has recorded about a lender of one team.
 type lenderView struct {
-	slots int64
-	left  int64
-	// idle is what the demand at the lender leaves over of its rate, in units.
-	idle int64
-	at   time.Duration
-	// hinted is when another lender last said that it had lent to this one.
-	hinted time.Duration
-	// asking is the number of the Ask under way, zero if none.
-	asking  uint64
-	nextAsk time.Duration
-	backoff time.Duration
+	slots   int64
+	balance int64
+	// idle is the number of units that the demand at the lender leaves unused.
+	idle       int64
+	answeredAt time.Duration
+	// hintedAt is when another lender last named this VM as its borrower, or when
+	// discoverLenders last selected it.
+	hintedAt time.Duration
+	// askNumber is the loan number of the last Ask, zero if it was answered.
+	askNumber uint64
+	nextAsk   time.Duration
+	backoff   time.Duration
 }
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// LoanID names a loan for ever: the borrower's process and a number that the
-// process uses once.
+// LoanID identifies a loan uniquely and permanently: the borrower's process and a
+// number that the process uses once.
 type LoanID struct {
 	Borrower Holder
 	Number   uint64
 }
 
-// Message is what VMs say to each other about quotas.
+// Message is a message between VMs about quotas.
 type Message interface{ message() }
 
-// Ask asks a holder for a loan.
+// Ask asks another VM for a loan.
 type Ask struct {
 	Loan LoanID
 	Team string
-	// Units is how much of the rate and burst is wanted for the time to come.
+	// Units is the share of the rate and burst, in units, to borrow.
 	Units int64
-	// Balance is how many nano-tokens are wanted at once.
+	// Balance is the number of nano-tokens to borrow immediately.
 	Balance int64
-	// Collect means that a request waits which is larger than any one part. The
-	// lender gives all it needs, and lends to no other collector meanwhile.
+	// Collect means that a request waits which needs tokens of several lenders. The
+	// lender keeps no reserve, and lends to no other collector meanwhile.
 	Collect bool
-	// Ahead means that no request waits yet. The lender keeps half of its own
-	// balance then.
+	// Ahead means that no request waits yet. The lender then keeps half of its own
+	// share of the burst.
 	Ahead bool
 }
 
@@ -32,39 +32,39 @@
 type Answer struct {
 	Loan LoanID
 	Team string
-	// Units and Balance are what was lent, for TTL from the sending of the Ask.
+	// Units, and Balance in nano-tokens, are lent for TTL from the sending of the Ask.
 	Units   int64
 	Balance int64
 	TTL     time.Duration
-	// Left is the lender's balance after the loan.
+	// Left is the lender's balance in nano-tokens after the loan, at least zero.
 	Left int64
-	// Idle is how many units the demand at the lender leaves over, negative if
-	// the lender lacks some itself.
+	// Idle is the number of units that the demand at the lender leaves unused,
+	// negative if the lender lacks units itself.
 	Idle int64
-	// LentTo is the VM that has the largest part of what the lender lent.
+	// LentTo is the VM that has the largest loan from the lender, "" if there is none.
 	LentTo string
-	// Busy means that another collector has the lender's tokens.
+	// Busy means that another collector is using the lender's tokens.
 	Busy bool
 }
 
-// Return gives a loan back before its end.
+// Return returns a loan before it expires.
 type Return struct {
 	Loan LoanID
 	Team string
-	// Balance is what goes back with it.
+	// Balance is the number of nano-tokens returned with the loan.
 	Balance int64
 }
 
-// Renew asks for a loan to last longer.
+// Renew asks the lender to extend a loan.
 type Renew struct {
 	Loan LoanID
 	Team string
-	// Number tells this request from earlier ones for the same loan.
+	// Number distinguishes this request from earlier ones for the same loan.
 	Number uint64
 }
 
-// Renewed is the reply to Renew. The loan lasts for TTL from the sending of the
-// Renew; zero changes nothing.
+// Renewed is the reply to Renew. The loan lasts for TTL from the sending of the Renew.
+// A TTL of zero leaves the loan unchanged.
 type Renewed struct {
 	Loan   LoanID
 	Team   string
@@ -72,14 +72,15 @@
 	TTL    time.Duration
 }
 
-// PromiseRequest asks a witness not to close the sender's record.
+// PromiseRequest asks a witness to promise not to consent to closing the sender's
+// record for one term.
 type PromiseRequest struct {
 	From   Holder
 	To     Holder
 	Number uint64
 }
 
-// Promise is the reply of a witness that gives its word.
+// Promise is the reply of a witness that grants a PromiseRequest.
 type Promise struct {
 	From   Holder
 	To     Holder
@@ -94,10 +95,10 @@
 func (PromiseRequest) message() {}
 func (Promise) message()        {}
 
-// Action is what the state machine wants done.
+// Action is an operation that the caller of the state machine must carry out.
 type Action interface{ action() }
 
-// Send sends a message. It may be lost, delayed, repeated or overtaken.
+// Send sends a message. The message may be lost, delayed, duplicated or reordered.
 type Send struct {
 	// To is the receiver's VM ID.
 	To      string
@@ -106,17 +107,18 @@
 
 // Verdict answers an Acquire.
 type Verdict struct {
-	// Request is the number given to Acquire.
+	// Request is the request number that was passed to Acquire.
 	Request uint64
 	// Admitted means that the tokens were charged.
 	Admitted bool
-	// Cause says why not.
+	// Cause is the reason for a refusal, CauseNone if the request was admitted.
 	Cause Cause
-	// RetryAfter estimates when the request would be admitted.
+	// RetryAfter is the estimated time until the request would be admitted.
 	RetryAfter time.Duration
 }
 
-// Write asks for a compare-and-swap, to be answered by Wrote.
+// Write requests a compare-and-swap of a key whose revision is Expected. The caller
+// answers it with Wrote.
 type Write struct {
 	Op       uint64
 	Key      string
@@ -124,7 +126,7 @@
 	Value    []byte
 }
 
-// Read asks for a key's entry, to be answered by ReadDone.
+// Read requests a key's entry. The caller answers it with ReadDone.
 type Read struct {
 	Op  uint64
 	Key string
@@ -135,10 +137,10 @@
 func (Write) action()   {}
 func (Read) action()    {}
 
-// Cause says why a request was refused.
+// Cause is the reason why a request was refused.
 type Cause string
 
-// The causes. Only CauseOverRate and CauseTooLarge are the team's own doing.
+// The causes. Only CauseOverRate and CauseTooLarge are due to the team's own requests.
 const (
 	CauseNone        Cause = ""
 	CauseOverRate    Cause = "over_rate"
--- a/internal/quota/ops.go
+++ b/internal/quota/ops.go
@@ -4,11 +4,11 @@
 	"github.com/chestnutarch/chestnutarch/internal/clock"
 )
 
-// Outcome says what is known of a write.
+// Outcome is what the caller knows about the effect of a write.
 type Outcome int
 
-// A write has one of three outcomes. Unknown means that it may have taken
-// effect, may still do so, or may never.
+// The outcomes of a write. Unknown means that it may have taken effect, may still take
+// effect, or may never.
 const (
 	Unknown Outcome = iota
 	TookEffect
@@ -27,29 +27,29 @@
 const (
 	opReadOwn opKind = iota
 	opWriteOwn
-	opReadShares
-	opWriteShares
+	opReadAssignment
+	opWriteAssignment
 	opReadRecord
 	opWriteRecord
 	opCheckReceiver
 )
 
-// operation is a call to the key-value service without an answer.
+// operation is a call to the key-value service that has no answer yet.
 type operation struct {
-	kind     opKind
-	vm       string
-	sent     clock.Reading
-	expected int64
-	record   Record
-	shares   Assignment
-	give     move
+	kind       opKind
+	vm         string
+	sent       clock.Reading
+	expected   int64
+	record     Record
+	assignment Assignment
+	transfer   slotTransfer
 }
 
 func (m *Machine) recordKey(vm string) string {
 	return m.cfg.Prefix + "vms/" + vm
 }
 
-func (m *Machine) sharesKey() string {
+func (m *Machine) assignmentKey() string {
 	return m.cfg.Prefix + "assignment"
 }
 
@@ -57,17 +57,18 @@
 	m.stats.Reads++
 	number := m.nextNumber()
 	m.ops[number] = op
-	m.do(Read{Op: number, Key: key})
+	m.emit(Read{Op: number, Key: key})
 }
 
 func (m *Machine) write(key string, value []byte, op operation) {
 	m.stats.Writes++
 	number := m.nextNumber()
 	m.ops[number] = op
-	m.do(Write{Op: number, Key: key, Expected: op.expected, Value: value})
+	m.emit(Write{Op: number, Key: key, Expected: op.expected, Value: value})
 }
 
-// ReadDone answers a Read. The entry is nil if the service gave no answer.
+// ReadDone passes in the result of a Read. The entry is nil if the service did not
+// answer.
 func (m *Machine) ReadDone(now clock.Reading, number uint64, entry *Entry) {
 	op, open := m.ops[number]
 	if !open {
@@ -76,29 +77,30 @@
 	delete(m.ops, number)
 	switch op.kind {
 	case opReadOwn:
-		m.own.busy = false
+		m.own.callInFlight = false
 		if entry != nil {
 			m.onOwnRecord(now, *entry)
 		}
-	case opReadShares:
-		m.shares.busy = false
+	case opReadAssignment:
+		m.assignment.callInFlight = false
 		if entry != nil {
-			m.onShares(*entry)
+			m.onAssignment(*entry)
 		}
 	case opReadRecord:
-		m.dutyOf(op.vm).busy = false
+		m.recordPollOf(op.vm).callInFlight = false
 		if entry != nil {
 			m.onRecord(now, op.vm, *entry)
 		}
 	case opCheckReceiver:
-		m.shares.busy = false
+		m.assignment.callInFlight = false
 		if entry != nil {
-			m.onReceiver(now, op.give, *entry)
+			m.onReceiverRecord(now, op.transfer, *entry)
 		}
 	}
 }
 
-// Wrote answers a Write. Current is the entry that stood in the way, if known.
+// Wrote passes in the result of a Write. current is the entry that conflicted with the
+// write, nil if unknown.
 func (m *Machine) Wrote(now clock.Reading, number uint64, outcome Outcome, revision int64, current *Entry) {
 	op, open := m.ops[number]
 	if !open {
@@ -107,25 +109,25 @@
 	delete(m.ops, number)
 	switch op.kind {
 	case opWriteOwn:
-		m.own.busy = false
-		m.onOwnWritten(now, op, outcome, revision)
-	case opWriteShares:
-		m.shares.busy = false
-		m.onSharesWritten(now, op, outcome, revision)
+		m.own.callInFlight = false
+		m.onOwnRecordWritten(now, op, outcome, revision)
+	case opWriteAssignment:
+		m.assignment.callInFlight = false
+		m.onAssignmentWritten(now, op, outcome, revision)
 	case opWriteRecord:
-		m.dutyOf(op.vm).busy = false
+		m.recordPollOf(op.vm).callInFlight = false
 		m.onConsentWritten(op, outcome, current)
 	}
 }
 
-// Observe takes in an entry that a watch delivered.
+// Observe passes in an entry that a watch delivered.
 func (m *Machine) Observe(key string, entry Entry) {
-	if key == m.sharesKey() {
-		m.onShares(entry)
+	if key == m.assignmentKey() {
+		m.onAssignment(entry)
 	}
 }
 
-// AssignmentKey is the key that is worth watching.
+// AssignmentKey returns the key of the assignment, which the caller should watch.
 func (m *Machine) AssignmentKey() string {
-	return m.sharesKey()
+	return m.assignmentKey()
 }
--- a/internal/quota/planted_test.go
+++ b/internal/quota/planted_test.go
@@ -12,20 +12,20 @@
 	"github.com/chestnutarch/chestnutarch/internal/quota/quotaloop"
 )
 
-var searchSeeds = flag.Int("planted.search", 0, "number of seeds to search for each planted fault")
+var seedsToSearch = flag.Int("planted.search", 0, "number of seeds to search for each planted fault")
 
-// drawSuccession draws trials in which VMs are taken for dead and come back: few
-// VMs, several times the rate and a small burst, so that authority that outlives
-// its end shows.
+// drawSuccession draws trials in which VMs are considered failed and come back. It uses
+// few VMs, a load of several times the rate and a small burst, so that the use of expired
+// authority leads to over-admission.
 func drawSuccession(t *rapid.T) trial {
 	vms := rapid.IntRange(2, 4).Draw(t, "vms")
-	tr := trial{options: calm(rapid.Uint64().Draw(t, "seed"), vms), load: 400}
+	tr := trial{options: faultFreeOptions(rapid.Uint64().Draw(t, "seed"), vms), load: 400}
 	tr.options.Tick = 20 * time.Millisecond
 	tr.options.Burst = burst / 10
 	tr.options.Store = quotaloop.StoreFaults{Delay: 150 * time.Millisecond}
 	kinds := []int{pause, pauseMono, isolate, storeCut, outage, restart, lateWrites}
 	for range rapid.IntRange(1, 4).Draw(t, "steps") {
-		tr.steps = append(tr.steps, step{
+		tr.steps = append(tr.steps, faultStep{
 			kind:   rapid.SampledFrom(kinds).Draw(t, "kind"),
 			vm:     rapid.IntRange(0, vms-1).Draw(t, "vm"),
 			other:  rapid.IntRange(0, vms-1).Draw(t, "other"),
@@ -36,9 +36,9 @@
 	return tr
 }
 
-// drawSharing draws trials in which slots change hands again and again while
-// answers of the key-value service are late or lost.
-func drawSharing(t *rapid.T) trial {
+// drawSlotTransfers draws trials in which slots are transferred repeatedly while answers
+// of the key-value service are late or lost.
+func drawSlotTransfers(t *rapid.T) trial {
 	tr := drawSuccession(t)
 	tr.options.Store.Lost = 300
 	for i := range tr.steps {
@@ -48,59 +48,59 @@
 	return tr
 }
 
-// A VM is paused or cut off, the others take its part, and it wakes. If it still
-// used its part, the team would get that part twice.
-func TestSuccessionNeverUsesAPartTwice(t *testing.T) {
+// A VM is paused or disconnected, the others take over its share, and it resumes. If it
+// still used its share, the team would get that share twice.
+func TestSuccessionNeverUsesAShareTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		require.NoError(t, drawSuccession(t).run())
-		require.NoError(t, drawSharing(t).run())
+		require.NoError(t, drawSlotTransfers(t).run())
 	})
 }
 
-// planted lists each fault with a seed that shows it. The same trial without the
-// fault must pass, or the oracle would have found something else.
-var planted = []struct {
-	fault  quota.Fault
-	trials func(*rapid.T) trial
-	seed   int
+// plantedFaults lists each fault with a seed whose trial exposes it. The same trial must
+// pass without the fault; otherwise the oracle would have found something else.
+var plantedFaults = []struct {
+	fault quota.Fault
+	draw  func(*rapid.T) trial
+	seed  int
 }{
 	{quota.FaultAuthorityFromAnswer, drawSuccession, 140},
 	{quota.FaultNoClosingWait, drawSuccession, 8},
 	{quota.FaultLendBeforeTaking, drawTrial, 1},
 	{quota.FaultAcceptRepeated, drawTrial, 1},
-	{quota.FaultGiveBeforeStopping, drawSharing, 13},
+	{quota.FaultGiveBeforeStopping, drawSlotTransfers, 13},
 	{quota.FaultPromiseAfterConsent, drawSuccession, 33},
 }
 
-// A rule is broken on purpose. An oracle that did not notice would not notice the
-// same mistake made by oversight either.
+// Breaks each rule on purpose and checks that the oracle detects it. An oracle that
+// misses an injected fault would miss the same fault made by mistake.
 func TestOracleFindsPlantedFaults(t *testing.T) {
-	for _, p := range planted {
+	for _, p := range plantedFaults {
 		t.Run(string(p.fault), func(t *testing.T) {
-			tr := rapid.Custom(p.trials).Example(p.seed)
+			tr := rapid.Custom(p.draw).Example(p.seed)
 			require.NoError(t, tr.run())
-			var over *quotaloop.OverAdmission
-			require.ErrorAs(t, tr.run(p.fault), &over)
+			var overAdmission *quotaloop.OverAdmission
+			require.ErrorAs(t, tr.run(p.fault), &overAdmission)
 		})
 	}
 }
 
-// TestSearchPlantedFaults looks for seeds again after the order of the loop's
+// TestSearchPlantedFaults searches for new seeds after the order of the simulation's
 // random choices has changed. It runs only with -planted.search.
 func TestSearchPlantedFaults(t *testing.T) {
-	if *searchSeeds == 0 {
+	if *seedsToSearch == 0 {
 		return
 	}
-	for _, p := range planted {
+	for _, p := range plantedFaults {
 		t.Run(string(p.fault), func(t *testing.T) {
 			t.Parallel()
-			for seed := range *searchSeeds {
-				if rapid.Custom(p.trials).Example(seed).run(p.fault) != nil {
+			for seed := range *seedsToSearch {
+				if rapid.Custom(p.draw).Example(seed).run(p.fault) != nil {
 					t.Logf("seed %d", seed)
 					return
 				}
 			}
-			t.Errorf("none of %d seeds finds it", *searchSeeds)
+			t.Errorf("no violation found with any of %d seeds", *seedsToSearch)
 		})
 	}
 }
--- a/internal/quota/ready.go
+++ b/internal/quota/ready.go
@@ -7,15 +7,15 @@
 	"github.com/chestnutarch/chestnutarch/internal/clock"
 )
 
-// joinPatience is how long a VM that is to hold a part waits for it before it
-// takes callers with what others lend. It bounds the wait for a VM whose parts
-// cannot be spared at present.
-const joinPatience = 5 * time.Second
+// joinTimeout is how long a VM that should hold slots waits for them before it serves
+// callers with borrowed tokens. It bounds the wait if the other VMs cannot spare slots
+// at present.
+const joinTimeout = 5 * time.Second
 
-// CanAdmit reports whether requests have a chance here: for every team this VM
-// has a part of the limit, its own or borrowed, or knows of a VM that may lend.
-// A VM that has just started has neither, and would refuse callers whose team
-// is inside its rate. Its first report is put off until its own part would
+// CanAdmit reports whether this VM can admit requests: for every team it has its own or
+// a borrowed share of the limit, or a lender that is likely to have tokens. A VM that
+// has just started has neither, and would refuse callers whose team is within its rate.
+// CanAdmit returns false until hasJoined is true, so that the VM's own share would
 // survive an outage of the key-value service.
 func (m *Machine) CanAdmit(now clock.Reading) bool {
 	m.joined = m.joined || m.hasJoined(now)
@@ -31,19 +31,19 @@
 	return true
 }
 
-// hasJoined reports whether the VM has what it will have. A VM that is to hold a
-// part waits for it, and for the part's witnesses: one that counted on loans from
-// VMs that were starting too refused its first callers. A VM that cannot learn
-// the assignment borrows, and has no part of its own to lose.
+// hasJoined reports whether the VM has finished joining. A VM that should hold slots
+// waits for them and for witnesses of its record, because a VM that relies on loans from
+// VMs that are starting too refuses its first callers. A VM that cannot read the
+// assignment borrows after joinTimeout; it has no share of its own to lose.
 func (m *Machine) hasJoined(now clock.Reading) bool {
-	if m.shares.usable() > 0 {
-		return len(m.own.witnesses) >= m.possibleWitnesses()
+	if m.assignment.usableSlots() > 0 {
+		return len(m.own.witnesses) >= m.availableWitnesses()
 	}
-	expects := !m.shares.known || slices.Contains(m.holders, m.cfg.Self)
-	return !expects || now.Mono-m.started.Mono >= joinPatience
+	expectsSlots := !m.assignment.known || slices.Contains(m.holders, m.cfg.Self)
+	return !expectsSlots || now.Mono-m.started.Mono >= joinTimeout
 }
 
-// possibleWitnesses is the number of witnesses that the record could name now.
-func (m *Machine) possibleWitnesses() int {
+// availableWitnesses returns the number of witnesses that the record could name now.
+func (m *Machine) availableWitnesses() int {
 	return len(m.chooseWitnesses())
 }
--- a/internal/quota/records.go
+++ b/internal/quota/records.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// Slots is the number of equal parts that every team's rate and burst are
-	// divided into. It is divisible by 6 and 7, so that fleets of these sizes
-	// get equal parts.
+	// Slots is the number of equal shares into which every team's rate and burst are
+	// divided. It is divisible by 6 and 7, so that fleets of these sizes get equal
+	// shares.
 	Slots = 84
-	// UnitsPerSlot is the number of units in a slot. Loans are counted in units.
+	// UnitsPerSlot is the number of units in a slot. Loans are measured in units.
 	UnitsPerSlot = 1000
-	// Units is the whole of a team's rate and burst.
+	// Units is the number of units in the whole of a team's rate and burst.
 	Units = Slots * UnitsPerSlot
 )
 
@@ -27,34 +27,34 @@
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Witness is a process whose promise renews another VM's authority while the
-// key-value service is silent, and whose consent is needed to close its record.
+// Witness is a process whose promise renews another VM's authority while the key-value
+// service does not answer, and whose consent is needed to close that VM's record.
 type Witness struct {
 	Holder
-	// Address is where the process takes in messages.
+	// Address is where the process receives messages.
 	Address string `json:"address"`
-	// Consent means that the witness will never again promise anything to the
-	// record's holder, and that what it promised has lapsed.
+	// Consent means that the witness will never again send a promise to the record's
+	// holder, and that its earlier promises have lapsed.
 	Consent bool `json:"consent,omitempty"`
 }
 
 // Record is a VM's own record in the key-value service.
 type Record struct {
 	Holder
-	// Renewals counts the renewals of this incarnation, so that no two writes of
-	// the record are alike.
+	// Renewals counts the renewals of this incarnation, so that no two writes of the
+	// record are identical.
 	Renewals uint64 `json:"renewals"`
-	// Witnesses lists those who may close the record together.
+	// Witnesses lists the processes that may close the record if all of them consent.
 	Witnesses []Witness `json:"witnesses"`
-	// Superseded means that a later process has started on the VM. It wants the
-	// record closed, and the holder can no longer renew it.
+	// Superseded means that a later process has started on the VM and needs the record
+	// to be closed. The holder can no longer renew it.
 	Superseded bool `json:"superseded,omitempty"`
-	// Closed means that the incarnation's authority has ended for good.
+	// Closed means that the incarnation's authority has ended permanently.
 	Closed bool `json:"closed,omitempty"`
 }
 
-// consented reports whether any witness has given its consent, which the first
-// one does only after the last renewal has lapsed.
+// consented reports whether any witness has consented to closing the record. The first
+// witness consents only after the last renewal has lapsed.
 func (r *Record) consented() bool {
 	return slices.ContainsFunc(r.Witnesses, func(w Witness) bool { return w.Consent })
 }
@@ -71,10 +71,10 @@
 	Slots int64 `json:"slots"`
 }
 
-// Assignment says who holds how many slots, for all teams alike. Only a holder
-// itself takes slots from its share, after it has stopped using them; anyone may
-// move the slots of a holder whose record is closed. Every change is one
-// compare-and-swap, so the sum never exceeds Slots.
+// Assignment maps processes to the number of slots that they hold, which applies to all
+// teams. Only the holder itself removes slots from its share, after it has stopped using
+// them; any process may move the slots of a holder whose record is closed. Every change
+// is one compare-and-swap, so the sum never exceeds Slots.
 type Assignment struct {
 	// Shares is sorted by VM and incarnation.
 	Shares []Share `json:"shares"`
@@ -90,8 +90,8 @@
 	return 0
 }
 
-// move returns the assignment after a number of slots went from one process to
-// another. The caller makes sure that there are as many.
+// move returns the assignment with a number of slots moved from one process to another.
+// The caller must ensure that from holds at least that many.
 func (a *Assignment) move(from, to Holder, slots int64) Assignment {
 	next := Assignment{}
 	found := false
@@ -116,7 +116,8 @@
 	return next
 }
 
-// decode reads a record or an assignment. It returns ErrMalformedRecord.
+// decode decodes a record or an assignment. It returns ErrMalformedRecord if the value
+// is not valid JSON for it.
 func decode[T any](value []byte) (T, error) {
 	var out T
 	if err := json.Unmarshal(value, &out); err != nil {
@@ -125,7 +126,7 @@
 	return out, nil
 }
 
-// encode writes a record or an assignment, which cannot fail.
+// encode encodes a record or an assignment, which cannot fail.
 func encode[T any](in T) []byte {
 	out, _ := json.Marshal(in)
 	return out
--- a/internal/quota/stats.go
+++ b/internal/quota/stats.go
@@ -2,7 +2,7 @@
 
 // Stats counts what a machine has done since its start.
 type Stats struct {
-	// AdmittedTokens and RefusedTokens count by request size.
+	// AdmittedTokens and RefusedTokens sum the sizes of requests, in tokens.
 	AdmittedTokens int64
 	RefusedTokens  int64
 	// Refused counts refused requests by cause.
@@ -12,7 +12,8 @@
 	// Reads and Writes count calls to the key-value service.
 	Reads  int64
 	Writes int64
-	// Loans counts loans received, Collections requests that needed several.
+	// Loans counts loans received. Collections counts collections started, each for
+	// one request that needs tokens of several lenders.
 	Loans       int64
 	Collections int64
 }
--- a/internal/quota/succession.go
+++ b/internal/quota/succession.go
@@ -8,31 +8,32 @@
 	"github.com/chestnutarch/chestnutarch/internal/clock"
 )
 
-// duty is the watch that this VM keeps over the record of one that seems dead.
-type duty struct {
-	busy     bool
-	lastRead time.Duration
-	tried    bool
-	// wanted is when the record was last of interest.
-	wanted time.Duration
+// recordPoll is the state of this VM's periodic reads of the record of a VM that is
+// suspected to have failed.
+type recordPoll struct {
+	callInFlight bool
+	lastRead     time.Duration
+	tried        bool
+	// lastNeeded is when the record was last needed.
+	lastNeeded time.Duration
 }
 
-// dutyLasts is how long a record is read on after it was last of interest.
-const dutyLasts = 2 * time.Second
+// recordPollDuration is how long a record is still read after it was last needed.
+const recordPollDuration = 2 * time.Second
 
-func (m *Machine) dutyOf(vm string) *duty {
-	d, known := m.duties[vm]
+func (m *Machine) recordPollOf(vm string) *recordPoll {
+	poll, known := m.recordPolls[vm]
 	if !known {
-		d = &duty{}
-		m.duties[vm] = d
+		poll = &recordPoll{}
+		m.recordPolls[vm] = poll
 	}
-	return d
+	return poll
 }
 
-// suspicious reports whether a process seems to be gone: its VM is not heard, or
-// a later process runs there. That decides only when to look; whether authority
-// has ended is decided by the record, the promises and the time that passed.
-func (m *Machine) suspicious(h Holder) bool {
+// isSuspected reports whether a process seems to have ended: its VM is not alive, or a
+// later process runs there. This only decides when to read its record. Whether its
+// authority has ended is decided by the record, the promises and the elapsed time.
+func (m *Machine) isSuspected(h Holder) bool {
 	if h.VM == m.cfg.Self.VM {
 		return h.Incarnation != m.cfg.Self.Incarnation
 	}
@@ -40,35 +41,35 @@
 	return !known || !p.Heard || p.Incarnation > h.Incarnation
 }
 
-// dutyTick reads the records of holders that seem to be gone.
-func (m *Machine) dutyTick(now clock.Reading) {
-	if m.leaving || !m.eligible(m.cfg.Self.VM) {
+// recordPollTick reads the records of holders that are suspected to have ended.
+func (m *Machine) recordPollTick(now clock.Reading) {
+	if m.leaving || !m.isHolderVM(m.cfg.Self.VM) {
 		return
 	}
-	for _, share := range m.shares.current.Shares {
-		if m.suspicious(share.Holder) && !m.observer.isClosed(share.Holder) {
-			m.dutyOf(share.VM).wanted = now.Mono
+	for _, share := range m.assignment.current.Shares {
+		if m.isSuspected(share.Holder) && !m.observer.isClosed(share.Holder) {
+			m.recordPollOf(share.VM).lastNeeded = now.Mono
 		}
 	}
 	if m.own.phase == recordForeign {
-		m.dutyOf(m.cfg.Self.VM).wanted = now.Mono
+		m.recordPollOf(m.cfg.Self.VM).lastNeeded = now.Mono
 	}
-	for _, vm := range slices.Sorted(maps.Keys(m.duties)) {
-		d := m.duties[vm]
-		if now.Mono-d.wanted > dutyLasts && !d.busy {
-			delete(m.duties, vm)
+	for _, vm := range slices.Sorted(maps.Keys(m.recordPolls)) {
+		poll := m.recordPolls[vm]
+		if now.Mono-poll.lastNeeded > recordPollDuration && !poll.callInFlight {
+			delete(m.recordPolls, vm)
 			continue
 		}
-		if d.busy || (d.tried && now.Mono-d.lastRead < retryEvery) {
+		if poll.callInFlight || (poll.tried && now.Mono-poll.lastRead < retryInterval) {
 			continue
 		}
-		d.busy, d.tried, d.lastRead = true, true, now.Mono
+		poll.callInFlight, poll.tried, poll.lastRead = true, true, now.Mono
 		m.read(m.recordKey(vm), operation{kind: opReadRecord, vm: vm, sent: now})
 	}
 }
 
-// closingWait is how long after the last possible renewal an authority that
-// another VM holds has certainly ended.
+// closingWait returns the time after the last possible renewal at which another VM's
+// authority has certainly expired.
 func (m *Machine) closingWait() time.Duration {
 	if m.faults.noClosingWait {
 		return 0
@@ -76,17 +77,17 @@
 	return m.cfg.Term
 }
 
-// onRecord looks at the record of a process that seems to be gone and takes the
-// next step towards closing it. Any VM may take the steps in any order, and one
-// that dies on the way leaves nothing behind that another cannot go on from.
+// onRecord takes the next step towards closing the record of a process that is suspected
+// to have ended. Any VM may take the steps in any order, and if a VM fails in between,
+// another one can continue.
 func (m *Machine) onRecord(now clock.Reading, vm string, entry Entry) {
 	record, err := decode[Record](entry.Value)
 	if entry.Revision == 0 || err != nil {
 		return
 	}
-	unchanged := m.observer.see(now, vm, entry.Revision)
-	m.noteEnded(now, record)
-	if record.Closed || !m.suspicious(record.Holder) {
+	unchanged := m.observer.observeRevision(now, vm, entry.Revision)
+	m.noteClosures(now, record)
+	if record.Closed || !m.isSuspected(record.Holder) {
 		return
 	}
 	lapsed := unchanged >= m.closingWait() || record.consented()
@@ -95,29 +96,29 @@
 	}
 	next := record
 	next.Witnesses = slices.Clone(record.Witnesses)
-	all, own, changed := true, false, false
+	allConsent, ownConsent, changed := true, false, false
 	for i, w := range next.Witnesses {
 		if w.Consent {
 			continue
 		}
-		if !m.consents(now, record, w, unchanged) {
-			all = false
+		if !m.canRecordConsent(now, record, w, unchanged) {
+			allConsent = false
 			continue
 		}
 		next.Witnesses[i].Consent = true
 		changed = true
-		own = own || w.Holder == m.cfg.Self
+		ownConsent = ownConsent || w.Holder == m.cfg.Self
 	}
-	next.Closed = all
+	next.Closed = allConsent
 	if !changed && !next.Closed {
 		return
 	}
-	d := m.dutyOf(vm)
-	if d.busy {
+	poll := m.recordPollOf(vm)
+	if poll.callInFlight {
 		return
 	}
-	d.busy = true
-	if own {
+	poll.callInFlight = true
+	if ownConsent {
 		m.promises.refuse(record.Holder)
 	}
 	m.write(m.recordKey(vm), encode(next), operation{
@@ -125,58 +126,63 @@
 	})
 }
 
-// noteEnded notes which processes of a VM a record shows to be closed: its
-// holder, if it says so, and every earlier one, because a later process writes
-// the record only after the earlier one's was closed.
-func (m *Machine) noteEnded(now clock.Reading, record Record) {
+// noteClosures records which processes of a VM are closed according to a record: its
+// holder if the record is closed, and every earlier process, because a later process
+// writes the record only after the earlier one's was closed. It also schedules reads of
+// the records of suspected witnesses.
+func (m *Machine) noteClosures(now clock.Reading, record Record) {
 	if record.Closed {
 		m.observer.noteClosed(now, record.Holder)
 	}
-	for _, share := range m.shares.current.Shares {
+	for _, share := range m.assignment.current.Shares {
 		if share.VM == record.VM && share.Incarnation < record.Incarnation {
 			m.observer.noteClosed(now, share.Holder)
 		}
 	}
-	for _, d := range m.witnessesOfInterest(record) {
-		m.dutyOf(d).wanted = now.Mono
+	for _, vm := range m.suspectedWitnesses(record) {
+		m.recordPollOf(vm).lastNeeded = now.Mono
 	}
 }
 
-// witnessesOfInterest lists the witnesses of an open record that seem to be gone
-// themselves. When they are closed too, their consent follows from that.
-func (m *Machine) witnessesOfInterest(record Record) []string {
+// suspectedWitnesses returns the VMs of those witnesses of a suspected holder's record
+// that are suspected themselves. Once their records are closed too, their consent follows
+// from that.
+func (m *Machine) suspectedWitnesses(record Record) []string {
 	var vms []string
-	if record.Closed || !m.suspicious(record.Holder) {
+	if record.Closed || !m.isSuspected(record.Holder) {
 		return nil
 	}
 	for _, w := range record.Witnesses {
-		if !w.Consent && w.VM != m.cfg.Self.VM && m.suspicious(w.Holder) {
+		if !w.Consent && w.VM != m.cfg.Self.VM && m.isSuspected(w.Holder) {
 			vms = append(vms, w.VM)
 		}
 	}
 	return vms
 }
 
-// consents reports whether a witness's consent to close a record can be written.
-func (m *Machine) consents(now clock.Reading, record Record, w Witness, unchanged time.Duration) bool {
+// canRecordConsent reports whether a witness's consent to closing a record may be
+// written. unchanged is how long the record has been unchanged.
+func (m *Machine) canRecordConsent(now clock.Reading, record Record, w Witness, unchanged time.Duration) bool {
 	wait := m.closingWait()
 	switch {
 	case w.Holder == m.cfg.Self:
 		return m.promises.lapsed(now, record.Holder, wait)
 	case w.VM == m.cfg.Self.VM && w.Address == m.cfg.Address && w.Incarnation < m.cfg.Self.Incarnation:
-		// The witness was an earlier process at this address. It takes in no
-		// requests since this one does, so what it promised has lapsed by now.
+		// The witness was an earlier process at this address. It has received no
+		// requests since this process started, so after the wait its promises have
+		// lapsed.
 		return elapsedAtLeast(m.started, now) >= wait
 	case m.observer.closedFor(now, w.Holder, wait):
-		// A process promises only while it has authority itself.
+		// A process sends promises only while it has authority itself.
 		return true
 	default:
 		return unchanged >= m.cfg.MaxSilence+wait
 	}
 }
 
-// onConsentWritten lets the witness promise again if its consent certainly did
-// not and will not take effect, because the record has moved on without it.
+// onConsentWritten allows this process to send promises as a witness again if its
+// consent certainly did not and will not take effect, because a later revision of the
+// record exists without it.
 func (m *Machine) onConsentWritten(op operation, outcome Outcome, current *Entry) {
 	if outcome != DidNot || current == nil || current.Revision <= op.expected {
 		return
@@ -185,8 +191,8 @@
 	if err != nil || record.Holder != op.record.Holder {
 		return
 	}
-	mine := slices.ContainsFunc(record.Witnesses, func(w Witness) bool { return w.Consent && w.Holder == m.cfg.Self })
-	if !mine && !record.Closed {
+	consented := slices.ContainsFunc(record.Witnesses, func(w Witness) bool { return w.Consent && w.Holder == m.cfg.Self })
+	if !consented && !record.Closed {
 		delete(m.promises.refused, record.Holder)
 	}
 }
