--- a/internal/ratelimit/convert.go
+++ b/internal/ratelimit/convert.go
@@ -25,7 +25,7 @@
 	return quota.LoanID{Borrower: decodeHolder(id.GetBorrower()), Number: id.GetNumber()}
 }
 
-// Encode turns a message into its wire form.
+// Encode converts a message to its wire form.
 func Encode(message quota.Message) *peerpb.QuotaMessage {
 	switch m := message.(type) {
 	case quota.Ask:
@@ -62,8 +62,8 @@
 	}
 }
 
-// decodeMessage reads a message from its wire form. It returns nil for a kind
-// that this version does not know.
+// decodeMessage converts a message from its wire form. It returns nil for a
+// message kind that this version does not support.
 func decodeMessage(message *peerpb.QuotaMessage) quota.Message {
 	switch b := message.GetBody().(type) {
 	case *peerpb.QuotaMessage_Ask:
@@ -95,7 +95,7 @@
 	}
 }
 
-// MessageBytes returns the size of a message's payload on the wire.
+// MessageBytes returns the size in bytes of a message's payload on the wire.
 func MessageBytes(message quota.Message) int {
 	return proto.Size(Encode(message))
 }
--- a/internal/ratelimit/doc.go
+++ b/internal/ratelimit/doc.go
@@ -1,3 +1,3 @@
 // Package ratelimit admits callers' requests within their team's rate and
-// burst. It is what the traffic goroutines call; the decisions are in quota.
+// burst. Request-serving goroutines call it; package quota makes the decisions.
 package ratelimit
--- a/internal/ratelimit/meters.go
+++ b/internal/ratelimit/gauges.go
@@ -6,20 +6,20 @@
 	"github.com/chestnutarch/chestnutarch/internal/quota"
 )
 
-// meters publishes the state machine's counters.
-type meters struct {
+// statsGauges publishes the state machine's counters as gauges.
+type statsGauges struct {
 	registry metrics.Registry
 }
 
-func newMeters(registry metrics.Registry) meters {
-	return meters{registry: registry}
+func newStatsGauges(registry metrics.Registry) statsGauges {
+	return statsGauges{registry: registry}
 }
 
-func (m meters) set(name string, value int64) {
+func (m statsGauges) set(name string, value int64) {
 	metrics.GetOrRegisterGauge("quota."+name, m.registry).Update(value)
 }
 
-func (m meters) update(s quota.Stats) {
+func (m statsGauges) update(s quota.Stats) {
 	m.set("admitted_tokens", s.AdmittedTokens)
 	m.set("refused_tokens", s.RefusedTokens)
 	for cause, n := range s.Refused {
--- a/internal/ratelimit/leases.go
+++ b/internal/ratelimit/leases.go
@@ -17,49 +17,52 @@
 	"github.com/chestnutarch/chestnutarch/internal/quota"
 )
 
-// ErrStopped means that the limiter no longer runs.
+// ErrStopped means that the limiter is no longer running.
 var ErrStopped = errors.New("ratelimit: stopped")
 
 const (
-	// busyTick and idleTick are the times between the state machine's ticks
-	// while requests wait for tokens and while none does.
-	busyTick = 5 * time.Millisecond
-	idleTick = 50 * time.Millisecond
-	// callTimeout bounds a call to the key-value service, messageTimeout one to
+	// busyTickInterval and idleTickInterval are the times between the state
+	// machine's ticks while requests wait for tokens and while none does.
+	busyTickInterval = 5 * time.Millisecond
+	idleTickInterval = 50 * time.Millisecond
+	// storeTimeout bounds a call to the key-value service, messageTimeout a call to
 	// another VM.
-	callTimeout    = time.Second
+	storeTimeout   = time.Second
 	messageTimeout = 300 * time.Millisecond
-	// maxCalls bounds the calls under way. What is beyond counts as lost.
-	maxCalls = 64
-	// inboxSize bounds the steps that wait for the control goroutine.
+	// maxInFlightCalls bounds the calls in flight. Further calls are dropped and
+	// count as lost.
+	maxInFlightCalls = 64
+	// inboxSize bounds the steps that are queued for the control goroutine.
 	inboxSize = 256
-	// statePeriod is how old the state that operators see may be.
-	statePeriod = time.Second
-	// watchRetry is the pause before a broken watch is opened again.
-	watchRetry = time.Second
+	// publishInterval is the time after which the state that operators read is
+	// refreshed.
+	publishInterval = time.Second
+	// watchRetryDelay is the delay before a broken watch is reopened.
+	watchRetryDelay = time.Second
 )
 
-// Options configure Leases. Store, Pool, View and Config.Self must be set.
+// Options configures Leases. Store, Pool, View and Config.Self must be set.
 type Options struct {
 	// Config holds the settings of the state machine.
 	Config quota.Config
 	// Store is the key-value service.
 	Store kv.Store
-	// Pool makes the calls to other VMs.
+	// Pool is used for the calls to other VMs.
 	Pool *peer.Pool
-	// View returns the present picture of the fleet.
+	// View returns the current membership view of the fleet.
 	View func() *membership.View
-	// Clock reads the clocks. The default is clock.System.
+	// Clock reads the local clocks. The default is clock.System.
 	Clock clock.Func
-	// Log receives changes.
+	// Log receives debug messages about failed calls.
 	Log zerolog.Logger
-	// Metrics receives counters under "quota.". The default is a registry of its own.
+	// Metrics receives the state machine's counters as gauges under "quota.". The
+	// default is a new registry.
 	Metrics metrics.Registry
 }
 
-// Leases is the Limiter that holds a team's rate and burst over all VMs: each VM
-// has a part, lends what it does not need and borrows what it lacks. It
-// implements peerpb.QuotaServer.
+// Leases is the Limiter that enforces each team's rate and burst over all VMs
+// together. Each VM holds a share of the limits, lends the part that it does not
+// need and borrows when it runs short. Leases implements peerpb.QuotaServer.
 type Leases struct {
 	peerpb.UnimplementedQuotaServer
 
@@ -67,30 +70,30 @@
 	machine     *quota.Machine
 	inbox       chan func(now clock.Reading)
 	done        chan struct{}
-	calls       chan struct{}
+	callSlots   chan struct{}
 	incarnation atomic.Uint64
 	left        atomic.Bool
 	canAdmit    atomic.Bool
-	teams       atomic.Pointer[[]quota.TeamState]
-	meters      meters
-
-	// The rest belongs to the control goroutine.
-	shownAt time.Duration
-	ctx     context.Context
-	waiting map[uint64]chan quota.Verdict
-	numbers uint64
-	lookup  map[string]string
-	seen    *membership.View
-	replies *replies
+	teamStates  atomic.Pointer[[]quota.TeamState]
+	gauges      statsGauges
+
+	// The fields below are owned by the control goroutine.
+	publishedAt time.Duration
+	ctx         context.Context
+	pending     map[uint64]chan quota.Verdict
+	lastRequest uint64
+	addresses   map[string]string
+	appliedView *membership.View
+	replies     *replies
 }
 
-// replies collects what answers the batch that is being taken in.
+// replies collects the messages that answer the batch being processed.
 type replies struct {
 	to    string
 	batch *peerpb.QuotaBatch
 }
 
-// NewLeases returns a limiter that admits nothing until Run has gained authority.
+// NewLeases returns a limiter that admits nothing until Run has acquired authority.
 func NewLeases(options Options) *Leases {
 	if options.Clock == nil {
 		options.Clock = clock.System()
@@ -99,41 +102,43 @@
 		options.Metrics = metrics.NewRegistry()
 	}
 	l := &Leases{
-		options: options,
-		machine: quota.New(options.Clock(), options.Config),
-		inbox:   make(chan func(clock.Reading), inboxSize),
-		done:    make(chan struct{}),
-		calls:   make(chan struct{}, maxCalls),
-		meters:  newMeters(options.Metrics),
-		waiting: make(map[uint64]chan quota.Verdict),
-		lookup:  make(map[string]string),
+		options:   options,
+		machine:   quota.New(options.Clock(), options.Config),
+		inbox:     make(chan func(clock.Reading), inboxSize),
+		done:      make(chan struct{}),
+		callSlots: make(chan struct{}, maxInFlightCalls),
+		gauges:    newStatsGauges(options.Metrics),
+		pending:   make(map[uint64]chan quota.Verdict),
+		addresses: make(map[string]string),
 	}
 	l.incarnation.Store(options.Config.Self.Incarnation)
 	return l
 }
 
-// Incarnation is the incarnation in this VM's quota record, for heartbeats.
+// Incarnation returns the incarnation in this VM's quota record, for use in
+// heartbeats.
 func (l *Leases) Incarnation() uint64 {
 	return l.incarnation.Load()
 }
 
-// Left reports whether everything was given away after Leave.
+// Left reports whether this VM has handed over all that it held, after Leave.
 func (l *Leases) Left() bool {
 	return l.left.Load()
 }
 
-// CanAdmit reports whether requests have a chance at this VM, as of the last tick.
+// CanAdmit reports whether this VM may be able to admit requests, as of the last
+// tick.
 func (l *Leases) CanAdmit() bool {
 	return l.canAdmit.Load()
 }
 
-// Leave starts to give this VM's part away, for a graceful shutdown. Requests
-// are still admitted with tokens that other VMs lend.
+// Leave starts to hand over this VM's share of the limits, for a graceful shutdown.
+// Requests are still admitted with tokens borrowed from other VMs.
 func (l *Leases) Leave() {
 	_ = l.post(context.Background(), func(clock.Reading) { l.machine.Leave() })
 }
 
-// SetLimits puts the limits of a configuration in force.
+// SetLimits implements Limiter. A version older than the one in force is ignored.
 func (l *Leases) SetLimits(version int64, limits []Limit) {
 	converted := make([]quota.Limit, 0, len(limits))
 	for _, limit := range limits {
@@ -142,7 +147,8 @@
 	_ = l.post(context.Background(), func(now clock.Reading) { l.machine.SetLimits(now, version, converted) })
 }
 
-// post hands a step to the control goroutine.
+// post queues a step for the control goroutine. It returns ErrStopped if the
+// limiter has stopped, or the context's error.
 func (l *Leases) post(ctx context.Context, step func(now clock.Reading)) error {
 	select {
 	case l.inbox <- step:
@@ -154,8 +160,8 @@
 	}
 }
 
-// Acquire charges the tokens, with those of other VMs if this one's do not
-// suffice.
+// Acquire implements Limiter. If this VM's tokens do not suffice it borrows from
+// other VMs.
 func (l *Leases) Acquire(ctx context.Context, team string, tokens int64) (*Grant, error) {
 	if tokens < 0 {
 		return nil, ErrInvalidTokens
@@ -163,9 +169,9 @@
 	verdicts := make(chan quota.Verdict, 1)
 	number := uint64(0)
 	err := l.post(ctx, func(now clock.Reading) {
-		l.numbers++
-		number = l.numbers
-		l.waiting[number] = verdicts
+		l.lastRequest++
+		number = l.lastRequest
+		l.pending[number] = verdicts
 		l.machine.Acquire(now, number, team, tokens)
 	})
 	if err != nil {
@@ -182,11 +188,11 @@
 	}
 }
 
-// abandon forgets a request whose caller has gone, and gives its tokens back if
-// they were charged meanwhile.
+// abandon drops a request whose caller has gone, and refunds its tokens if they
+// have been charged meanwhile.
 func (l *Leases) abandon(team string, tokens int64, verdicts chan quota.Verdict, number *uint64) {
 	_ = l.post(context.Background(), func(now clock.Reading) {
-		delete(l.waiting, *number)
+		delete(l.pending, *number)
 		if l.machine.Cancel(*number) {
 			return
 		}
@@ -215,13 +221,14 @@
 	}}, nil
 }
 
-// Exchange takes in messages of another VM and returns the replies to them.
+// Exchange implements peerpb.QuotaServer. It processes messages of another VM and
+// returns the replies to them.
 func (l *Leases) Exchange(ctx context.Context, in *peerpb.QuotaBatch) (*peerpb.QuotaBatch, error) {
 	answer := make(chan *peerpb.QuotaBatch, 1)
 	err := l.post(ctx, func(now clock.Reading) {
 		l.replies = &replies{to: in.GetFrom(), batch: &peerpb.QuotaBatch{From: l.options.Config.Self.VM}}
-		l.receive(now, in)
-		l.perform()
+		l.receiveBatch(now, in)
+		l.executeActions()
 		answer <- l.replies.batch
 		l.replies = nil
 	})
@@ -238,7 +245,7 @@
 	}
 }
 
-func (l *Leases) receive(now clock.Reading, in *peerpb.QuotaBatch) {
+func (l *Leases) receiveBatch(now clock.Reading, in *peerpb.QuotaBatch) {
 	for _, message := range in.GetMessages() {
 		if m := decodeMessage(message); m != nil {
 			l.machine.Receive(now, in.GetFrom(), m)
--- a/internal/ratelimit/leases_test.go
+++ b/internal/ratelimit/leases_test.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	patience  = 30 * time.Second
-	pollEvery = 10 * time.Millisecond
-	// testTerm is short, so that an outage soon outlasts it.
+	waitTimeout  = 30 * time.Second
+	pollInterval = 10 * time.Millisecond
+	// testTerm is short, so that a test can outlast it with an outage.
 	testTerm = 1500 * time.Millisecond
 )
 
-// startFleet starts limiters that talk over the loopback interface and share an
-// in-memory key-value service.
+// startFleet starts n limiters that communicate over the loopback interface and
+// share an in-memory key-value service.
 func startFleet(t *testing.T, n int) ([]*Leases, *kvtest.Memory) {
 	t.Helper()
 	store := kvtest.NewMemory(time.Now)
@@ -68,9 +68,9 @@
 	return fleet, store
 }
 
-// A long manual arrives at one VM of several and is as large as the team's whole
-// burst. The VM owns only a part, so without the others' tokens it would refuse
-// the request for ever.
+// Guards against permanent refusal of a request as large as the team's whole burst.
+// The VM at which it arrives owns only a share of the burst and has to borrow the
+// other VMs' tokens.
 func TestWholeBurstOverRealConnections(t *testing.T) {
 	const burst = 9_000
 	fleet, _ := startFleet(t, 3)
@@ -83,7 +83,7 @@
 			var err error
 			grant, err = l.Acquire(t.Context(), "a", burst)
 			return err == nil
-		}, patience, pollEvery)
+		}, waitTimeout, pollInterval)
 		grant.Settle(burst / 2)
 	}
 	_, err := fleet[0].Acquire(t.Context(), "a", burst+1)
@@ -92,8 +92,9 @@
 	require.ErrorIs(t, err, ErrUnknownTeam)
 }
 
-// The key-value service goes away. Each VM's authority would end a few seconds
-// later, and the team would be refused although it is inside its rate.
+// Guards against refusing a team that is within its rate when an outage of the
+// key-value service outlasts the lease term. Without renewal by witnesses each
+// VM's authority would end a few seconds into the outage.
 func TestOutageLongerThanTheTerm(t *testing.T) {
 	fleet, store := startFleet(t, 3)
 	for _, l := range fleet {
@@ -106,11 +107,11 @@
 		}
 	}
 	for _, l := range fleet {
-		require.Eventually(t, admitted(l), patience, pollEvery)
+		require.Eventually(t, admitted(l), waitTimeout, pollInterval)
 	}
 	store.Change(func(f *kvtest.Faults) { f.Outage = true })
 	time.Sleep(2 * testTerm)
 	for _, l := range fleet {
-		require.Eventually(t, admitted(l), patience, pollEvery)
+		require.Eventually(t, admitted(l), waitTimeout, pollInterval)
 	}
 }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -11,7 +11,7 @@
 
 var (
 	// ErrLargerThanBurst means that the request is larger than the team's whole
-	// burst and will never be admitted.
+	// burst and can never be admitted.
 	ErrLargerThanBurst = errors.New("ratelimit: request larger than the team's burst")
 	// ErrUnknownTeam means that no limit is in force for the team.
 	ErrUnknownTeam = errors.New("ratelimit: unknown team")
@@ -19,37 +19,38 @@
 	ErrInvalidTokens = errors.New("ratelimit: negative number of tokens")
 )
 
-// Cause says why a request was refused although it is not larger than the burst.
+// Cause is the reason why a request that does not exceed the burst was refused.
 type Cause string
 
-// The causes of a refusal. Only CauseOverRate is the team's own doing.
+// The causes of a refusal. Only CauseOverRate results from the team's own demand.
 const (
-	// CauseOverRate means that the team used up its rate and burst.
+	// CauseOverRate means that the team has used up its rate and burst.
 	CauseOverRate Cause = "over_rate"
-	// CausePartShort means that this VM's part is used up. The team may have
-	// tokens left at other VMs that did not come in time.
+	// CausePartShort means that this VM's share of the limit is used up. The team
+	// may have tokens left at other VMs that could not be borrowed in time.
 	CausePartShort Cause = "part_short"
-	// CauseNoAuthority means that this VM may not admit at present: it has just
-	// started, was paused, or could renew its lease with nobody.
+	// CauseNoAuthority means that this VM may not admit requests at present: it has
+	// just started, was paused, or could not renew its lease with the key-value
+	// service or a witness.
 	CauseNoAuthority Cause = "no_authority"
 )
 
-// LimitedError refuses a request that was not run.
+// LimitedError reports that a request was refused and not run.
 type LimitedError struct {
 	// Team is the team's name.
 	Team string
-	// RetryAfter is an estimate of when the request would be admitted.
+	// RetryAfter estimates how long it takes until the request would be admitted.
 	RetryAfter time.Duration
-	// Cause says why.
+	// Cause is the reason for the refusal.
 	Cause Cause
 }
 
-// Error returns the message.
+// Error implements error.
 func (e *LimitedError) Error() string {
 	return fmt.Sprintf("ratelimit: team %s limited: %s, retry after %s", e.Team, e.Cause, e.RetryAfter)
 }
 
-// Limit is what a team may use over all VMs together.
+// Limit is a team's limit over all VMs together.
 type Limit struct {
 	// Team is the team's name.
 	Team string
@@ -59,30 +60,32 @@
 	Burst int64
 }
 
-// Limiter admits requests. It is safe for concurrent use.
+// Limiter admits requests within their team's limit. It is safe for concurrent
+// use.
 type Limiter interface {
-	// Acquire charges the tokens to the team. It returns a *LimitedError,
-	// ErrLargerThanBurst, ErrUnknownTeam or ErrInvalidTokens if the request may
-	// not run, or the context's error if it ended first; nothing is charged then.
+	// Acquire charges the tokens to the team. If the request may not run it returns
+	// a *LimitedError, ErrLargerThanBurst, ErrUnknownTeam or ErrInvalidTokens. If
+	// the context ends first it returns the context's error. Nothing is charged
+	// when an error is returned.
 	Acquire(ctx context.Context, team string, tokens int64) (*Grant, error)
-	// SetLimits puts the limits of a configuration in force.
+	// SetLimits applies the limits of a configuration version.
 	SetLimits(version int64, limits []Limit)
 }
 
-// Grant is an admitted request's charge.
+// Grant is the charge of an admitted request.
 type Grant struct {
 	// Team is the team that was charged.
 	Team string
-	// Tokens is what was charged.
+	// Tokens is the number of tokens charged.
 	Tokens int64
 
 	once   sync.Once
 	settle func(difference int64)
 }
 
-// Settle says how many tokens the request used in truth. What it did not use
-// goes back to the team, what it used beyond the charge becomes a debt. Only
-// the first call counts.
+// Settle corrects the charge to the number of tokens that the request actually
+// used. Unused tokens are refunded to the team; usage beyond the charge becomes a
+// debt. Only the first call has an effect.
 func (g *Grant) Settle(used int64) {
 	g.once.Do(func() { g.settle(g.Tokens - used) })
 }
--- a/internal/ratelimit/run.go
+++ b/internal/ratelimit/run.go
@@ -14,17 +14,18 @@
 	"github.com/chestnutarch/chestnutarch/internal/quota"
 )
 
-// Run owns the state machine until ctx ends and returns nil then.
+// Run runs the control goroutine, which owns the state machine, and the watch of the
+// assignment. It returns nil when ctx ends.
 func (l *Leases) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	l.ctx = ctx
-	group.Go(func() error { return l.watch(ctx) })
+	group.Go(func() error { return l.watchAssignment(ctx) })
 	group.Go(func() error { return l.loop(ctx) })
 	return group.Wait()
 }
 
-// loop is the control goroutine. A step that leaves a request waiting for tokens
-// brings the next tick forward.
+// loop is the control goroutine. If a step leaves a request waiting for tokens, the
+// next tick comes after busyTickInterval.
 func (l *Leases) loop(ctx context.Context) error {
 	defer close(l.done)
 	timer := time.NewTimer(0)
@@ -36,51 +37,52 @@
 			return nil
 		case step := <-l.inbox:
 			step(l.options.Clock())
-			l.perform()
+			l.executeActions()
 			if !busy && l.machine.Waiting() {
 				busy = true
-				timer.Reset(busyTick)
+				timer.Reset(busyTickInterval)
 			}
 		case <-timer.C:
 			l.tick()
 			busy = l.machine.Waiting()
-			timer.Reset(tickAfter(busy))
+			timer.Reset(tickInterval(busy))
 		}
 	}
 }
 
-func tickAfter(busy bool) time.Duration {
+func tickInterval(busy bool) time.Duration {
 	if busy {
-		return busyTick
+		return busyTickInterval
 	}
-	return idleTick
+	return idleTickInterval
 }
 
-// tick lets time pass in the state machine. The timer is set by what waits.
+// tick advances the state machine to the current time, executes its actions and
+// updates the state that other goroutines read.
 func (l *Leases) tick() {
-	if view := l.options.View(); view != l.seen {
-		l.seen = view
+	if view := l.options.View(); view != l.appliedView {
+		l.appliedView = view
 		l.machine.SetPeers(l.peersOf(view))
 	}
 	l.machine.Tick(l.options.Clock())
-	l.perform()
+	l.executeActions()
 	l.incarnation.Store(l.machine.Self().Incarnation)
 	l.left.Store(l.machine.Left())
 	l.canAdmit.Store(l.machine.CanAdmit(l.options.Clock()))
-	l.publish(l.options.Clock())
-	l.meters.update(l.machine.Stats())
+	l.publishTeams(l.options.Clock())
+	l.gauges.update(l.machine.Stats())
 }
 
-// peersOf converts the membership's view.
+// peersOf converts a membership view and records the peers' addresses.
 func (l *Leases) peersOf(view *membership.View) []quota.Peer {
 	peers := make([]quota.Peer, 0, len(view.Members))
-	clear(l.lookup)
+	clear(l.addresses)
 	for _, m := range view.Members {
 		incarnation := m.QuotaIncarnation
 		if incarnation == 0 {
 			incarnation = m.Incarnation
 		}
-		l.lookup[m.VM] = m.PeerAddress
+		l.addresses[m.VM] = m.PeerAddress
 		peers = append(peers, quota.Peer{
 			Holder:        quota.Holder{VM: m.VM, Incarnation: incarnation},
 			Address:       m.PeerAddress,
@@ -92,79 +94,80 @@
 	return peers
 }
 
-// perform carries out what the state machine wants done. Messages to one VM
-// travel together.
-func (l *Leases) perform() {
+// executeActions executes the actions that the state machine has requested. Messages
+// to the same VM are sent in one batch.
+func (l *Leases) executeActions() {
 	batches := make(map[string]*peerpb.QuotaBatch)
 	for _, action := range l.machine.Actions() {
 		switch a := action.(type) {
 		case quota.Verdict:
-			if verdicts, open := l.waiting[a.Request]; open {
-				delete(l.waiting, a.Request)
+			if verdicts, found := l.pending[a.Request]; found {
+				delete(l.pending, a.Request)
 				verdicts <- a
 			}
 		case quota.Read:
-			l.call(func() { l.read(a) }, func(now clock.Reading) { l.machine.ReadDone(now, a.Op, nil) })
+			l.startCall(func() { l.readRecord(a) }, func(now clock.Reading) { l.machine.ReadDone(now, a.Op, nil) })
 		case quota.Write:
-			l.call(func() { l.write(a) }, func(now clock.Reading) { l.machine.Wrote(now, a.Op, quota.Unknown, 0, nil) })
+			l.startCall(func() { l.writeRecord(a) }, func(now clock.Reading) { l.machine.Wrote(now, a.Op, quota.Unknown, 0, nil) })
 		case quota.Send:
-			l.collect(batches, a)
+			l.addToBatch(batches, a)
 		}
 	}
 	for vm, batch := range batches {
-		address, known := l.lookup[vm]
+		address, known := l.addresses[vm]
 		if !known {
 			continue
 		}
-		l.call(func() { l.exchange(vm, address, batch) }, nil)
+		l.startCall(func() { l.sendBatch(vm, address, batch) }, nil)
 	}
 }
 
-// collect puts a message with the others to the same VM, or with the replies if
-// it answers the batch being taken in.
-func (l *Leases) collect(batches map[string]*peerpb.QuotaBatch, s quota.Send) {
+// addToBatch adds a message to the batch for its receiver, or to the replies if its
+// receiver sent the batch that is being processed.
+func (l *Leases) addToBatch(batches map[string]*peerpb.QuotaBatch, s quota.Send) {
 	message := Encode(s.Message)
 	if l.replies != nil && l.replies.to == s.To {
 		l.replies.batch.Messages = append(l.replies.batch.Messages, message)
 		return
 	}
-	batch, open := batches[s.To]
-	if !open {
+	batch, found := batches[s.To]
+	if !found {
 		batch = &peerpb.QuotaBatch{From: l.options.Config.Self.VM}
 		batches[s.To] = batch
 	}
 	batch.Messages = append(batch.Messages, message)
 }
 
-// call runs a call on a goroutine of its own. When too many are under way it
-// counts as lost, so that a peer or a service that hangs cannot pile them up.
-func (l *Leases) call(run func(), lost func(now clock.Reading)) {
+// startCall runs a call on its own goroutine. If maxInFlightCalls are in flight it
+// drops the call, which counts as lost, and runs onDropped unless that is nil. This
+// keeps calls to a hanging peer or key-value service from accumulating.
+func (l *Leases) startCall(run func(), onDropped func(now clock.Reading)) {
 	select {
-	case l.calls <- struct{}{}:
+	case l.callSlots <- struct{}{}:
 		go func() {
-			defer func() { <-l.calls }()
+			defer func() { <-l.callSlots }()
 			run()
 		}()
 	default:
-		if lost != nil {
-			lost(l.options.Clock())
+		if onDropped != nil {
+			onDropped(l.options.Clock())
 		}
 	}
 }
 
-func (l *Leases) exchange(vm, address string, batch *peerpb.QuotaBatch) {
+func (l *Leases) sendBatch(vm, address string, batch *peerpb.QuotaBatch) {
 	out, err := l.options.Pool.ExchangeQuota(l.ctx, address, messageTimeout, batch)
 	if err != nil {
-		l.options.Log.Debug().Err(err).Str("vm", vm).Msg("quota messages not answered")
+		l.options.Log.Debug().Err(err).Str("vm", vm).Msg("quota message exchange with VM failed")
 		return
 	}
 	if len(out.GetMessages()) > 0 {
-		_ = l.post(l.ctx, func(now clock.Reading) { l.receive(now, out) })
+		_ = l.post(l.ctx, func(now clock.Reading) { l.receiveBatch(now, out) })
 	}
 }
 
-func (l *Leases) read(r quota.Read) {
-	ctx, cancel := context.WithTimeout(kv.WithPriority(l.ctx, kv.PriorityConfiguration), callTimeout)
+func (l *Leases) readRecord(r quota.Read) {
+	ctx, cancel := context.WithTimeout(kv.WithPriority(l.ctx, kv.PriorityConfiguration), storeTimeout)
 	defer cancel()
 	entry, err := l.options.Store.Get(ctx, r.Key)
 	var found *quota.Entry
@@ -174,20 +177,21 @@
 	case errors.Is(err, kv.ErrNotFound):
 		found = &quota.Entry{Revision: kv.RevisionAbsent}
 	default:
-		l.options.Log.Debug().Err(err).Str("key", r.Key).Msg("quota record not read")
+		l.options.Log.Debug().Err(err).Str("key", r.Key).Msg("failed to read quota record from key-value service")
 	}
 	_ = l.post(l.ctx, func(now clock.Reading) { l.machine.ReadDone(now, r.Op, found) })
 }
 
-func (l *Leases) write(w quota.Write) {
-	ctx, cancel := context.WithTimeout(kv.WithPriority(l.ctx, kv.PriorityConfiguration), callTimeout)
+func (l *Leases) writeRecord(w quota.Write) {
+	ctx, cancel := context.WithTimeout(kv.WithPriority(l.ctx, kv.PriorityConfiguration), storeTimeout)
 	defer cancel()
 	result, err := l.options.Store.CompareAndSwap(ctx, w.Key, w.Expected, w.Value, kv.NoLease)
 	outcome := quota.Unknown
 	switch {
 	case err != nil:
-		// An error says that nothing was learned, so the outcome stays unknown.
-		l.options.Log.Debug().Err(err).Str("key", w.Key).Msg("quota record not written")
+		// After an error the write may or may not have taken effect, so the outcome
+		// stays unknown.
+		l.options.Log.Debug().Err(err).Str("key", w.Key).Msg("quota record write failed; outcome unknown")
 	case result.Outcome == kv.TookEffect:
 		outcome = quota.TookEffect
 	case result.Outcome == kv.DidNot:
@@ -200,9 +204,10 @@
 	_ = l.post(l.ctx, func(now clock.Reading) { l.machine.Wrote(now, w.Op, outcome, result.Revision, current) })
 }
 
-// watch passes changes of the assignment on. The state machine also reads it now
-// and then, so a watch that went silent only delays.
-func (l *Leases) watch(ctx context.Context) error {
+// watchAssignment delivers changes of the assignment to the state machine. The state
+// machine also reads the assignment periodically, so a watch that stops delivering
+// without closing only delays changes.
+func (l *Leases) watchAssignment(ctx context.Context) error {
 	key := l.machine.AssignmentKey()
 	for ctx.Err() == nil {
 		entries, err := l.options.Store.Watch(ctx, key, 0)
@@ -215,7 +220,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(watchRetry):
+		case <-time.After(watchRetryDelay):
 		}
 	}
 	return nil
--- a/internal/ratelimit/static.go
+++ b/internal/ratelimit/static.go
@@ -8,10 +8,11 @@
 	"github.com/chestnutarch/chestnutarch/internal/quota"
 )
 
-// Static gives each of a fixed number of VMs an equal part of every team's rate
-// and burst. It is strict and needs nobody, but it cuts the burst in pieces: a
-// request larger than one part is never admitted, and demand that comes to one
-// VM gets one part. It is the baseline that the leases are measured against.
+// Static is the Limiter that gives each of a fixed number of VMs an equal part of
+// every team's rate and burst. It never exceeds the limits and needs no
+// coordination, but it divides the burst: a request larger than one part is never
+// admitted, and demand that arrives at a single VM is limited to one part. It is
+// the baseline that Leases is measured against.
 type Static struct {
 	parts int64
 	clock func() time.Duration
@@ -24,8 +25,8 @@
 	bucket *quota.Bucket
 }
 
-// NewStatic returns a limiter without teams for one of a number of VMs. The
-// clock returns the time since any fixed origin; nil takes the monotonic clock.
+// NewStatic returns a limiter without teams for one VM out of parts VMs. The clock
+// returns the time since any fixed origin. A nil clock selects the monotonic clock.
 func NewStatic(parts int, clock func() time.Duration) *Static {
 	if clock == nil {
 		start := time.Now()
@@ -34,8 +35,8 @@
 	return &Static{parts: int64(max(parts, 1)), clock: clock, teams: make(map[string]*staticTeam)}
 }
 
-// SetLimits puts the limits in force. Balances of known teams are kept and
-// clipped. The version is not looked at.
+// SetLimits implements Limiter. It keeps the balances of the teams that already
+// have a limit, clipped to the new depth, and ignores the version.
 func (s *Static) SetLimits(_ int64, limits []Limit) {
 	now := s.clock()
 	s.mu.Lock()
@@ -48,9 +49,9 @@
 			team.limit = limit
 			team.bucket.Reshape(now, rate, depth)
 		} else {
-			// What the process spent before a restart is not known, so the balance
-			// starts empty. If it started full, every restart would hand out the
-			// burst once more.
+			// The balance starts empty, because the tokens that the process charged
+			// before a restart are unknown. If it started full, every restart would
+			// grant the burst once more.
 			team = &staticTeam{limit: limit, bucket: quota.NewBucket(now, rate, depth, 0)}
 		}
 		next[limit.Team] = team
@@ -58,7 +59,8 @@
 	s.teams = next
 }
 
-// Acquire charges this VM's part of the team's bucket. It never waits.
+// Acquire implements Limiter. It charges this VM's part of the team's bucket and
+// never waits.
 func (s *Static) Acquire(_ context.Context, name string, tokens int64) (*Grant, error) {
 	if tokens < 0 {
 		return nil, ErrInvalidTokens
--- a/internal/ratelimit/static_test.go
+++ b/internal/ratelimit/static_test.go
@@ -20,7 +20,7 @@
 	require.ErrorIs(t, err, ErrLargerThanBurst)
 	var limited *LimitedError
 	_, err = s.Acquire(ctx, "a", 10)
-	require.ErrorAs(t, err, &limited, "the balance starts empty")
+	require.ErrorAs(t, err, &limited, "a new team's balance must start empty")
 
 	now = time.Hour
 	g, err := s.Acquire(ctx, "a", 100)
@@ -31,7 +31,7 @@
 	g.Settle(50)
 	g.Settle(0)
 	_, err = s.Acquire(ctx, "a", 50)
-	require.NoError(t, err, "unused tokens came back")
+	require.NoError(t, err, "Settle must refund the 50 unused tokens")
 	_, err = s.Acquire(ctx, "a", 1)
-	require.ErrorAs(t, err, &limited, "and only once")
+	require.ErrorAs(t, err, &limited, "only the first Settle may refund tokens")
 }
--- a/internal/ratelimit/teams.go
+++ b/internal/ratelimit/teams.go
@@ -5,21 +5,21 @@
 	"github.com/chestnutarch/chestnutarch/internal/quota"
 )
 
-// Teams returns the teams' limits as this VM holds them, at most a second old.
+// Teams returns the state of the teams' limits at this VM. It is up to a second old.
 func (l *Leases) Teams() []quota.TeamState {
-	if states := l.teams.Load(); states != nil {
+	if states := l.teamStates.Load(); states != nil {
 		return *states
 	}
 	return nil
 }
 
-// publish shows the teams' state to operators, at most once a period: they look
-// rarely, and the machine ticks often.
-func (l *Leases) publish(now clock.Reading) {
-	if shown := l.teams.Load(); shown != nil && now.Mono-l.shownAt < statePeriod {
+// publishTeams updates the state that Teams returns, at most once per
+// publishInterval: operators read it rarely, whereas the state machine ticks often.
+func (l *Leases) publishTeams(now clock.Reading) {
+	if published := l.teamStates.Load(); published != nil && now.Mono-l.publishedAt < publishInterval {
 		return
 	}
-	l.shownAt = now.Mono
+	l.publishedAt = now.Mono
 	states := l.machine.Teams(now)
-	l.teams.Store(&states)
+	l.teamStates.Store(&states)
 }
