--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -18,17 +18,17 @@
 const (
 	// DefaultTimeout is the default of Options.Timeout.
 	DefaultTimeout = 3 * time.Second
-	// storeTimeout is how long an answer is tried to be stored.
+	// storeTimeout bounds the attempts to store an answer.
 	storeTimeout = 5 * time.Minute
-	// maxHandOvers bounds how often one request looks at a claim that other
-	// requests want to take over too.
-	maxHandOvers = 4
+	// maxClaimRounds bounds how often one request submits an operation on a claim
+	// that other requests are trying to take over as well.
+	maxClaimRounds = 4
 )
 
-// Asker asks a VM about an attempt that it has made.
+// Asker queries a VM for the state of an attempt that the VM made.
 type Asker interface {
 	// Ask returns the attempt's state and its answer, or an error if the VM did
-	// not say.
+	// not reply.
 	Ask(ctx context.Context, vm, attempt string) (claim.State, *claim.Answer, error)
 }
 
@@ -40,32 +40,33 @@
 	Environment string
 	// VM is this VM's name.
 	VM string
-	// Asker asks other VMs.
+	// Asker queries other VMs.
 	Asker Asker
-	// Forwarder has other VMs carry operations out. It may be nil.
+	// Forwarder submits operations to other VMs. If it is nil, every operation is
+	// executed locally.
 	Forwarder Forwarder
-	// Preferred returns the VM that should write a shard, or "". It is needed
-	// with a Forwarder and must not block.
+	// Preferred returns the VM that should write a shard, or "" if there is none.
+	// It is required with a Forwarder and must not block.
 	Preferred func(shard int) string
-	// Timeout bounds how long a claim may take to be settled. The default is 3s.
+	// Timeout bounds the time to settle a claim. The default is 3s.
 	Timeout time.Duration
 }
 
-// Claims holds this VM's part in the claims. It is safe for concurrent use. Run
-// makes it work.
+// Claims manages this VM's attempts and its access to the claims of the fleet. It is
+// safe for concurrent use. Operations are executed only while Run is running.
 type Claims struct {
-	options Options
-	shards  [claim.Shards]*shard
-	nextID  atomic.Uint64
-	stores  sync.WaitGroup
+	options       Options
+	shards        [claim.Shards]*shard
+	nextID        atomic.Uint64
+	pendingStores sync.WaitGroup
 
-	// mu makes the decision to dispatch an attempt and the word that it will never
-	// be dispatched exclude each other.
+	// mu makes dispatching an attempt and reporting it as never dispatched mutually
+	// exclusive.
 	mu       sync.Mutex
 	attempts *claim.Attempts
 }
 
-// New returns claims of which nothing is known yet.
+// New returns Claims that have not read anything from the key-value service yet.
 func New(o Options) *Claims {
 	if o.Timeout == 0 {
 		o.Timeout = DefaultTimeout
@@ -78,7 +79,7 @@
 	return c
 }
 
-// Run serves the shards until ctx ends. What waits then is refused.
+// Run serves the shards until ctx ends. Operations that are waiting then are refused.
 func (c *Claims) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, s := range c.shards {
@@ -87,12 +88,13 @@
 	return group.Wait()
 }
 
-// Flush waits until the answers that are known have been stored, or ctx ends.
+// Flush waits until the storing of all answers so far has ended. It returns the
+// context's error if ctx ends first.
 func (c *Claims) Flush(ctx context.Context) error {
 	stored := make(chan struct{})
 	go func() {
 		defer close(stored)
-		c.stores.Wait()
+		c.pendingStores.Wait()
 	}()
 	select {
 	case <-stored:
@@ -102,40 +104,40 @@
 	}
 }
 
-// Attempt is leave to run an action once.
+// Attempt is the permission to run an action once.
 type Attempt struct {
 	claims *Claims
 	record claim.Record
 }
 
-// Claim makes sure that an action with an idempotency key has not run and that no
-// other request runs it. Errors are ErrUnavailable, ErrKeyReused, ErrInProgress or
-// ErrOutcomeUnknown, or an *AnsweredError. The attempt must be ended by Answered,
-// Lost or Abandon.
+// Claim ensures that an action with an idempotency key has not run and that no other
+// request runs it. It returns ErrUnavailable, ErrKeyReused, ErrInProgress,
+// ErrOutcomeUnknown or an *AnsweredError if that is not the case. The caller must
+// end the attempt with Answered, Lost or Abandon.
 func (c *Claims) Claim(ctx context.Context, team, idempotencyKey, body string) (*Attempt, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.Timeout)
 	defer cancel()
 	op := claim.Op{Kind: claim.Claim}
-	checkedAgain := false
-	for range maxHandOvers {
+	rechecked := false
+	for range maxClaimRounds {
 		op.Record = claim.Record{
 			Key: claim.KeyOf(team, idempotencyKey), Body: body, VM: c.options.VM,
 			Attempt: uuid.NewString(), ClaimedAt: time.Now(),
 		}
-		verdict := c.try(ctx, op)
+		verdict := c.submitAttempt(ctx, op)
 		if verdict.Granted {
 			return &Attempt{claims: c, record: op.Record}, nil
 		}
 		if verdict.Found == nil {
 			return nil, errors.Wrap(ErrUnavailable, verdict.Err.Error())
 		}
-		from, err := c.judge(ctx, verdict.Found, body)
+		from, err := c.resolveExisting(ctx, verdict.Found, body)
 		switch {
-		case errors.Is(err, ErrOutcomeUnknown) && !checkedAgain:
-			// Between the reading of the claim and the question, the claimant may
-			// have stored the answer and forgotten the attempt. The claim as it
-			// stands now says so.
-			checkedAgain = true
+		case errors.Is(err, ErrOutcomeUnknown) && !rechecked:
+			// Between the read of the claim and the query, the claimant may have
+			// stored the answer and forgotten the attempt. Reading the claim once
+			// more finds the answer in that case.
+			rechecked = true
 			op.Kind, op.From = claim.Claim, ""
 		case err != nil:
 			return nil, err
@@ -146,15 +148,16 @@
 	return nil, errors.WithStack(ErrInProgress)
 }
 
-// try submits an operation under a new attempt. Unless it is granted the attempt
-// is abandoned, so that whatever still happens to the claim, it is not run.
-func (c *Claims) try(ctx context.Context, op claim.Op) claim.Verdict {
+// submitAttempt submits an operation under a new attempt. Unless the operation is
+// granted the attempt is abandoned, so that the action is not run even if the claim
+// is written later.
+func (c *Claims) submitAttempt(ctx context.Context, op claim.Op) claim.Verdict {
 	id := op.Record.Attempt
-	c.with(func(a *claim.Attempts) { a.Begin(id, op.Record.ClaimedAt) })
+	c.withAttempts(func(a *claim.Attempts) { a.Begin(id, op.Record.ClaimedAt) })
 	op.ID = c.nextID.Add(1)
 	op.Deadline, _ = ctx.Deadline()
-	verdict := c.do(ctx, op)
-	c.with(func(a *claim.Attempts) {
+	verdict := c.execute(ctx, op)
+	c.withAttempts(func(a *claim.Attempts) {
 		if verdict.Granted {
 			a.Grant(id)
 			return
@@ -164,16 +167,16 @@
 	return verdict
 }
 
-// judge decides what a claim that stands means for a request. It returns the
-// attempt that may be replaced.
-func (c *Claims) judge(ctx context.Context, found *claim.Record, body string) (string, error) {
+// resolveExisting decides what an existing claim means for a request. It returns the
+// attempt that the request may take over, or the error to return from Claim.
+func (c *Claims) resolveExisting(ctx context.Context, found *claim.Record, body string) (string, error) {
 	if found.Body != body {
 		return "", errors.WithStack(ErrKeyReused)
 	}
 	if found.Answer != nil {
 		return "", &AnsweredError{Answer: found.Answer}
 	}
-	state, answer, err := c.ask(ctx, found)
+	state, answer, err := c.queryAttempt(ctx, found)
 	if err != nil {
 		return "", errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
@@ -188,7 +191,7 @@
 	return "", errors.WithStack(ErrOutcomeUnknown)
 }
 
-func (c *Claims) ask(ctx context.Context, found *claim.Record) (claim.State, *claim.Answer, error) {
+func (c *Claims) queryAttempt(ctx context.Context, found *claim.Record) (claim.State, *claim.Answer, error) {
 	if found.VM == c.options.VM {
 		state, answer := c.State(found.Attempt)
 		return state, answer, nil
@@ -196,64 +199,66 @@
 	return c.options.Asker.Ask(ctx, found.VM, found.Attempt)
 }
 
-// State returns the state of an attempt of this VM, for one that asks.
+// State returns the state of an attempt that this VM made, and its answer if it is
+// done.
 func (c *Claims) State(attempt string) (state claim.State, answer *claim.Answer) {
-	c.with(func(a *claim.Attempts) { state, answer = a.Ask(attempt) })
+	c.withAttempts(func(a *claim.Attempts) { state, answer = a.Ask(attempt) })
 	return state, answer
 }
 
-func (c *Claims) with(f func(*claim.Attempts)) {
+func (c *Claims) withAttempts(f func(*claim.Attempts)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(c.attempts)
 }
 
-// Dispatch reports whether the action may be sent now. It is true once, until
-// Unsent.
-func (t *Attempt) Dispatch() (may bool) {
-	t.claims.with(func(a *claim.Attempts) { may = a.Dispatch(t.record.Attempt, time.Now()) })
-	return may
+// Dispatch reports whether the action may be sent now. It returns true only once,
+// unless Unsent reverts the dispatch.
+func (t *Attempt) Dispatch() (allowed bool) {
+	t.claims.withAttempts(func(a *claim.Attempts) { allowed = a.Dispatch(t.record.Attempt, time.Now()) })
+	return allowed
 }
 
-// Unsent takes a dispatch back of which no byte can have reached the upstream.
+// Unsent reverts a dispatch of which no byte can have reached the upstream.
 func (t *Attempt) Unsent() {
-	t.claims.with(func(a *claim.Attempts) { a.Unsent(t.record.Attempt) })
+	t.claims.withAttempts(func(a *claim.Attempts) { a.Unsent(t.record.Attempt) })
 }
 
-// Abandon gives the attempt up. It reports whether "not run" is true. The claim
-// stays, and whoever tries the key again takes it over.
+// Abandon gives the attempt up. It reports whether the action is certain not to have
+// run. The claim remains, and the next request with the key takes it over.
 func (t *Attempt) Abandon() (notRun bool) {
-	t.claims.with(func(a *claim.Attempts) { notRun = a.Abandon(t.record.Attempt) })
+	t.claims.withAttempts(func(a *claim.Attempts) { notRun = a.Abandon(t.record.Attempt) })
 	return notRun
 }
 
 // Lost ends an attempt that was dispatched and whose outcome is unknown.
 func (t *Attempt) Lost() {
-	t.claims.with(func(a *claim.Attempts) { a.Forget(t.record.Attempt) })
+	t.claims.withAttempts(func(a *claim.Attempts) { a.Forget(t.record.Attempt) })
 }
 
-// Answered ends an attempt with its answer. It returns at once; the answer is
-// stored meanwhile, and until then this VM tells it to those that ask.
+// Answered ends an attempt with its answer. It returns immediately and the answer is
+// stored in the background. Until it is stored, this VM returns it to VMs that query
+// the attempt. A body larger than claim.MaxAnswerBytes is omitted.
 func (t *Attempt) Answered(status int, contentType string, body []byte) {
 	answer := &claim.Answer{Status: status, ContentType: contentType, Body: body}
 	if len(body) > claim.MaxAnswerBytes {
 		answer.Body, answer.Omitted = nil, true
 	}
 	c := t.claims
-	c.with(func(a *claim.Attempts) { a.Answer(t.record.Attempt, answer) })
-	c.stores.Add(1)
+	c.withAttempts(func(a *claim.Attempts) { a.Answer(t.record.Attempt, answer) })
+	c.pendingStores.Add(1)
 	go func() {
-		defer c.stores.Done()
-		c.store(t.record, answer)
+		defer c.pendingStores.Done()
+		c.storeAnswer(t.record, answer)
 	}()
 }
 
-func (c *Claims) store(r claim.Record, answer *claim.Answer) {
+func (c *Claims) storeAnswer(r claim.Record, answer *claim.Answer) {
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	r.Answer = answer
 	op := claim.Op{ID: c.nextID.Add(1), Kind: claim.Store, Record: r}
 	op.Deadline, _ = ctx.Deadline()
-	c.do(ctx, op)
-	c.with(func(a *claim.Attempts) { a.Forget(r.Attempt) })
+	c.execute(ctx, op)
+	c.withAttempts(func(a *claim.Attempts) { a.Forget(r.Attempt) })
 }
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -20,14 +20,14 @@
 	"github.com/chestnutarch/chestnutarch/internal/peer"
 )
 
-// fleet is several VMs before one key-value service. They ask each other without
+// fleet is several VMs that share one key-value service and query each other without
 // a network.
 type fleet struct {
 	store *kvtest.Memory
 	mu    sync.Mutex
 	vms   map[string]*Claims
-	// forwards counts the operations that were carried out for another VM.
-	forwards atomic.Int64
+	// forwardedOps counts the operations executed for another VM.
+	forwardedOps atomic.Int64
 }
 
 func newFleet(t *testing.T, names ...string) *fleet {
@@ -38,7 +38,7 @@
 	return f
 }
 
-// start starts a VM's process, or replaces it.
+// start starts or restarts a VM's process.
 func (f *fleet) start(t *testing.T, name string) *Claims {
 	c := New(Options{Store: f.store, Environment: "test", VM: name, Asker: f, Timeout: time.Second, Forwarder: f, Preferred: f.preferred})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -63,13 +63,13 @@
 	return claim.Preferred(shard, slices.Sorted(maps.Keys(f.vms)))
 }
 
-// Submit implements Forwarder. Every third answer is lost.
+// Submit implements Forwarder. Every third reply is lost.
 func (f *fleet) Submit(ctx context.Context, vm string, op claim.Op) (claim.Verdict, error) {
 	f.mu.Lock()
 	c := f.vms[vm]
 	f.mu.Unlock()
-	v := c.Carry(ctx, op)
-	if f.forwards.Add(1)%3 == 0 {
+	v := c.ExecuteForwarded(ctx, op)
+	if f.forwardedOps.Add(1)%3 == 0 {
 		return claim.Verdict{}, peer.ErrUnreachable
 	}
 	return v, nil
@@ -83,13 +83,14 @@
 	return state, answer, nil
 }
 
-// run claims a key and runs its action, unless it is given up before.
-func run(c *Claims, key string, giveUp bool, executed func(string)) error {
+// runAction claims a key and runs its action, or abandons the attempt if abandon is
+// set.
+func runAction(c *Claims, key string, abandon bool, executed func(string)) error {
 	attempt, err := c.Claim(context.Background(), "team", key, "body")
 	if err != nil {
 		return err
 	}
-	if giveUp {
+	if abandon {
 		attempt.Abandon()
 		return ErrUnavailable
 	}
@@ -101,11 +102,10 @@
 	return nil
 }
 
-// Callers send the same filing to three VMs at once, again and again, while the
-// key-value service loses requests and answers and carries writes out late, and
-// answers between the VMs are lost too. The
-// registry must see each filing once, and nobody may be left with a key that can
-// never run.
+// Guards against an action that runs twice and against a key that can never run.
+// Callers retry the same action at three VMs concurrently, while the key-value
+// service loses requests and answers and executes writes late, and replies between
+// the VMs are lost too.
 func TestConcurrentRetriesRunOnce(t *testing.T) {
 	f := newFleet(t, "a", "b", "c")
 	var mu sync.Mutex
@@ -122,7 +122,7 @@
 			wg.Go(func() {
 				for try := range 4 {
 					key := fmt.Sprint("key-", i)
-					if run(c, key, try == 0 && i%3 == 0, executed) == nil {
+					if runAction(c, key, try == 0 && i%3 == 0, executed) == nil {
 						return
 					}
 				}
@@ -138,7 +138,7 @@
 	wg.Wait()
 	for i := range keys {
 		key := fmt.Sprint("key-", i)
-		err := run(f.vms["b"], key, false, executed)
+		err := runAction(f.vms["b"], key, false, executed)
 		var answered *AnsweredError
 		if err != nil {
 			require.ErrorAs(t, err, &answered)
@@ -148,27 +148,29 @@
 	}
 }
 
-// stale asks after the claimant has stored the answer and forgotten the attempt.
-type stale struct {
+// delayedAsker runs beforeAsk before each query, so that the claimant can store the
+// answer and forget the attempt first.
+type delayedAsker struct {
 	*fleet
-	then func()
+	beforeAsk func()
 }
 
 // Ask implements Asker.
-func (s stale) Ask(ctx context.Context, vm, attempt string) (claim.State, *claim.Answer, error) {
-	s.then()
+func (s delayedAsker) Ask(ctx context.Context, vm, attempt string) (claim.State, *claim.Answer, error) {
+	s.beforeAsk()
 	return s.fleet.Ask(ctx, vm, attempt)
 }
 
-// A retry reads the claim, and before it has asked the claimant the answer is
-// stored. The clerk must get the receipt and not "outcome unknown"; one of 15 runs
-// of the test above showed this.
-func TestAnswerStoredBetweenReadAndQuestion(t *testing.T) {
+// Guards against reporting "outcome unknown" for an action that was answered. A retry
+// reads the claim, and the claimant stores the answer and forgets the attempt before
+// the retry queries it. This happened in one of 15 runs of
+// TestConcurrentRetriesRunOnce.
+func TestAnswerStoredBetweenReadAndQuery(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	attempt, err := f.vms["a"].Claim(t.Context(), "team", "k", "body")
 	require.NoError(t, err)
 	require.True(t, attempt.Dispatch())
-	f.vms["b"].options.Asker = stale{fleet: f, then: sync.OnceFunc(func() {
+	f.vms["b"].options.Asker = delayedAsker{fleet: f, beforeAsk: sync.OnceFunc(func() {
 		attempt.Answered(200, "text/plain", []byte("receipt"))
 		require.NoError(t, f.vms["a"].Flush(t.Context()))
 	})}
@@ -178,9 +180,10 @@
 	require.Equal(t, "receipt", string(answered.Answer.Body))
 }
 
-// The VM dies between dispatch and answer. Nobody knows whether the deposit was
-// charged, and a retry must say so instead of charging again.
-func TestClaimantThatDiedLeavesTheOutcomeUnknown(t *testing.T) {
+// Guards against running an action a second time after the claimant crashed between
+// dispatch and answer. Whether the action ran is unknown, and a retry must report
+// that.
+func TestClaimantCrashLeavesOutcomeUnknown(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	attempt, err := f.vms["a"].Claim(t.Context(), "team", "k", "body")
 	require.NoError(t, err)
@@ -198,8 +201,9 @@
 	require.NoError(t, err)
 }
 
-// The key-value service is down. The action is refused, and is not run when the
-// service comes back; the caller's next try then runs it.
+// Guards against running a refused action. An action is refused during an outage of
+// the key-value service and must not run once the service is back; the caller's next
+// request runs it.
 func TestOutageRefusesActions(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	f.store.Change(func(x *kvtest.Faults) { x.Outage = true })
@@ -212,9 +216,9 @@
 	require.False(t, attempt.Dispatch())
 }
 
-// The write takes effect after its sender has given up. The claim then stands for
-// an attempt that never runs, and must not lock the key for a day.
-func TestClaimThatArrivedLateIsHandedOver(t *testing.T) {
+// Guards against a key that is locked for a day. The write of a claim takes effect
+// after its sender has timed out, so the claim belongs to an attempt that never runs.
+func TestLateClaimIsTakenOver(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	f.store.Change(func(x *kvtest.Faults) { x.HoldRequests = 1000 })
 	_, err := f.vms["a"].Claim(t.Context(), "team", "k", "body")
@@ -226,8 +230,8 @@
 	require.True(t, attempt.Dispatch())
 }
 
-// The question goes over gRPC to the VM that holds the claim.
-func TestPeersAnswerForTheirAttempts(t *testing.T) {
+// Queries and forwarded operations reach the VM that made the attempt over gRPC.
+func TestPeerQueriesAndForwardingOverGRPC(t *testing.T) {
 	f := newFleet(t, "a")
 	security := peer.Security{AllowPlainText: true}
 	server, err := peer.NewServer(security)
@@ -254,38 +258,38 @@
 	state, _, err = asker.Ask(t.Context(), "a", id)
 	require.NoError(t, err)
 	require.Equal(t, claim.Abandoned, state)
-	taken := attempt.record
-	taken.Attempt = "another"
-	v, err := asker.Submit(t.Context(), "a", claim.Op{Kind: claim.TakeOver, Record: taken, From: id})
+	takeOver := attempt.record
+	takeOver.Attempt = "another"
+	v, err := asker.Submit(t.Context(), "a", claim.Op{Kind: claim.TakeOver, Record: takeOver, From: id})
 	require.NoError(t, err)
 	require.True(t, v.Granted)
 	v, err = asker.Submit(t.Context(), "a", claim.Op{Kind: claim.Claim, Record: attempt.record})
 	require.NoError(t, err)
 	require.Equal(t, "another", v.Found.Attempt)
-	require.WithinDuration(t, taken.ClaimedAt, v.Found.ClaimedAt, 0)
+	require.WithinDuration(t, takeOver.ClaimedAt, v.Found.ClaimedAt, 0)
 	_, _, err = asker.Ask(t.Context(), "gone", id)
 	require.ErrorIs(t, err, ErrUnknownVM)
 	cancel()
 	require.NoError(t, errors.WithStack(<-served))
 }
 
-// slow is a service whose writes take two milliseconds.
-type slow struct{ *kvtest.Memory }
+// slowStore is a key-value service whose writes take two milliseconds.
+type slowStore struct{ *kvtest.Memory }
 
 // CompareAndSwap implements kv.Store.
-func (s slow) CompareAndSwap(ctx context.Context, key string, expected int64, value []byte, lease kv.LeaseID) (kv.Result, error) {
+func (s slowStore) CompareAndSwap(ctx context.Context, key string, expected int64, value []byte, lease kv.LeaseID) (kv.Result, error) {
 	time.Sleep(2 * time.Millisecond)
 	return s.Memory.CompareAndSwap(ctx, key, expected, value, lease)
 }
 
-// BenchmarkAction runs keyed actions one after the other before a service whose
-// writes take 2 ms: the caller gets his answer while it is on its way to the
-// service, or only once it is stored there.
+// BenchmarkAction runs keyed actions one after the other with a key-value service
+// whose writes take 2 ms. The caller gets the answer either while it is being stored
+// or, with stored=true, only once it is stored.
 func BenchmarkAction(b *testing.B) {
 	for _, stored := range []bool{false, true} {
 		b.Run(fmt.Sprintf("stored=%t", stored), func(b *testing.B) {
 			store := kvtest.NewMemory(nil)
-			c := New(Options{Store: slow{store}, Environment: "test", VM: "a"})
+			c := New(Options{Store: slowStore{store}, Environment: "test", VM: "a"})
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			go func() { _ = c.Run(ctx) }()
--- a/internal/claims/doc.go
+++ b/internal/claims/doc.go
@@ -1,4 +1,4 @@
-// Package claims carries out the decisions of package claim: it keeps the claims
-// of keyed actions in the key-value service and asks other VMs about attempts that
-// they have made.
+// Package claims executes the decisions of package claim. It stores the claims of
+// keyed actions in the key-value service and queries other VMs for the state of
+// their attempts.
 package claims
--- a/internal/claims/forward.go
+++ b/internal/claims/forward.go
@@ -10,20 +10,21 @@
 	"github.com/chestnutarch/chestnutarch/internal/peer/peerpb"
 )
 
-// forwardTimeout bounds one operation at another VM. After that it is carried out
-// here.
+// forwardTimeout bounds one operation at another VM. After that the local VM executes
+// the operation itself.
 const forwardTimeout = 500 * time.Millisecond
 
-// Forwarder has another VM carry out an operation.
+// Forwarder submits operations to other VMs.
 type Forwarder interface {
-	// Submit returns the verdict, or an error if the VM did not give one. The
-	// operation may then still be carried out there.
+	// Submit has a VM execute an operation and returns the verdict, or an error if
+	// the VM returned none. After an error the VM may still execute the operation.
 	Submit(ctx context.Context, vm string, op claim.Op) (claim.Verdict, error)
 }
 
-// do has an operation carried out, by the VM that writes the shard if it answers.
-// Carrying it out twice is harmless: the second finds its own attempt.
-func (c *Claims) do(ctx context.Context, op claim.Op) claim.Verdict {
+// execute executes an operation at the VM that is preferred to write the shard, or
+// locally if that VM gives no verdict. Executing an operation twice is harmless: the
+// second execution finds its own attempt.
+func (c *Claims) execute(ctx context.Context, op claim.Op) claim.Verdict {
 	shard := op.Record.Key.Shard()
 	vm := c.options.VM
 	if c.options.Forwarder != nil {
@@ -35,10 +36,11 @@
 			return v
 		}
 	}
-	return c.shards[shard].do(ctx, op)
+	return c.shards[shard].execute(ctx, op)
 }
 
-// Submit implements Forwarder.
+// Submit implements Forwarder. It returns ErrUnknownVM if Address has no address for
+// the VM.
 func (p PeerAsker) Submit(ctx context.Context, vm string, op claim.Op) (claim.Verdict, error) {
 	address := p.Address(vm)
 	if address == "" {
@@ -56,23 +58,23 @@
 	return claim.Verdict{ID: op.ID, Granted: out.GetGranted(), Found: decodeRecord(out.GetFound())}, nil
 }
 
-// SubmitClaim carries out another VM's operation.
+// SubmitClaim implements peerpb.ClaimsServer. It executes another VM's operation.
 func (s *Server) SubmitClaim(ctx context.Context, in *peerpb.SubmitClaimRequest) (*peerpb.SubmitClaimResponse, error) {
 	record := decodeRecord(in.GetRecord())
 	if record == nil || record.Key == "" || record.Attempt == "" {
 		return &peerpb.SubmitClaimResponse{}, nil
 	}
-	v := s.claims.Carry(ctx, claim.Op{Kind: decodeKind(in.GetKind()), Record: *record, From: in.GetFrom()})
+	v := s.claims.ExecuteForwarded(ctx, claim.Op{Kind: decodeKind(in.GetKind()), Record: *record, From: in.GetFrom()})
 	return &peerpb.SubmitClaimResponse{Granted: v.Granted, Found: encodeRecord(v.Found)}, nil
 }
 
-// Carry carries out another VM's operation here.
-func (c *Claims) Carry(ctx context.Context, op claim.Op) claim.Verdict {
+// ExecuteForwarded executes another VM's operation at this VM.
+func (c *Claims) ExecuteForwarded(ctx context.Context, op claim.Op) claim.Verdict {
 	ctx, cancel := context.WithTimeout(ctx, c.options.Timeout)
 	defer cancel()
 	op.ID = c.nextID.Add(1)
 	op.Deadline, _ = ctx.Deadline()
-	return c.shards[op.Record.Key.Shard()].do(ctx, op)
+	return c.shards[op.Record.Key.Shard()].execute(ctx, op)
 }
 
 var kinds = map[claim.Kind]peerpb.ClaimKind{
--- a/internal/claims/peers.go
+++ b/internal/claims/peers.go
@@ -12,28 +12,30 @@
 	"github.com/chestnutarch/chestnutarch/internal/peer/peerpb"
 )
 
-// askTimeout bounds one question to another VM.
-const askTimeout = 500 * time.Millisecond
+// queryTimeout bounds one query for an attempt's state at another VM.
+const queryTimeout = 500 * time.Millisecond
 
-// ErrUnknownVM means that no address is known of a VM.
+// ErrUnknownVM means that no address is known for a VM.
 var ErrUnknownVM = errors.New("claims: unknown VM")
 
-// PeerAsker asks over gRPC.
+// PeerAsker queries other VMs and forwards operations to them over gRPC. It
+// implements Asker and Forwarder.
 type PeerAsker struct {
-	// Pool makes the calls.
+	// Pool is used for the calls.
 	Pool *peer.Pool
-	// Address returns a VM's address for peers, or "".
+	// Address returns a VM's peer address, or "" if it is unknown.
 	Address func(vm string) string
 }
 
-// Ask implements Asker.
+// Ask implements Asker. It returns ErrUnknownVM if Address has no address for the
+// VM.
 func (p PeerAsker) Ask(ctx context.Context, vm, attempt string) (claim.State, *claim.Answer, error) {
 	address := p.Address(vm)
 	if address == "" {
 		return claim.Lost, nil, errors.Wrap(ErrUnknownVM, vm)
 	}
 	var out *peerpb.AskAttemptResponse
-	err := p.Pool.Call(ctx, address, askTimeout, func(ctx context.Context, conn grpc.ClientConnInterface) (err error) {
+	err := p.Pool.Call(ctx, address, queryTimeout, func(ctx context.Context, conn grpc.ClientConnInterface) (err error) {
 		out, err = peerpb.NewClaimsClient(conn).AskAttempt(ctx, &peerpb.AskAttemptRequest{Attempt: attempt})
 		return err
 	})
@@ -43,18 +45,19 @@
 	return decodeState(out.GetState()), decodeAnswer(out.GetAnswer()), nil
 }
 
-// Server answers the questions of other VMs.
+// Server implements peerpb.ClaimsServer for the other VMs.
 type Server struct {
 	peerpb.UnimplementedClaimsServer
 	claims *Claims
 }
 
-// Register adds the service to a server of peers.
+// Register registers the claims service with a peer server.
 func (c *Claims) Register(r grpc.ServiceRegistrar) {
 	peerpb.RegisterClaimsServer(r, &Server{claims: c})
 }
 
-// AskAttempt returns the state of an attempt of this VM.
+// AskAttempt implements peerpb.ClaimsServer. It returns the state of an attempt that
+// this VM made.
 func (s *Server) AskAttempt(_ context.Context, in *peerpb.AskAttemptRequest) (*peerpb.AskAttemptResponse, error) {
 	state, answer := s.claims.State(in.GetAttempt())
 	return &peerpb.AskAttemptResponse{State: encodeState(state), Answer: encodeAnswer(answer)}, nil
@@ -70,7 +73,8 @@
 
 func encodeState(s claim.State) peerpb.AttemptState { return states[s] }
 
-// decodeState takes a state that it does not know for lost, which claims nothing.
+// decodeState maps an unsupported state to claim.Lost, which implies nothing about
+// whether the action ran.
 func decodeState(m peerpb.AttemptState) claim.State {
 	for state, message := range states {
 		if message == m {
--- a/internal/claims/shard.go
+++ b/internal/claims/shard.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// callTimeout bounds one call of the key-value service.
+	// callTimeout bounds one call to the key-value service.
 	callTimeout = time.Second
-	// retryPause is the time between calls that brought nothing.
-	retryPause = 50 * time.Millisecond
-	// groupWindow is the least time between two writes of a shard. It bounds the
-	// writes of all shards together to 800 a second, however many actions come:
-	// what comes meanwhile is written together.
-	groupWindow = 20 * time.Millisecond
-	// warmPause is the time between two reads while a shard is read for the first
-	// time and nobody waits for it. All shards of a VM make 160 reads a second
-	// then, so that a whole fleet can start at once.
-	warmPause = 100 * time.Millisecond
-	// submitted is the length of the channel into a shard.
-	submitted = 256
+	// retryDelay is the delay after a call that failed or had an unknown outcome.
+	retryDelay = 50 * time.Millisecond
+	// groupCommitInterval is the least time between two writes of a shard.
+	// Operations that arrive in the meantime are written together. This bounds the
+	// writes of all shards together to 800 a second, whatever the rate of actions.
+	groupCommitInterval = 20 * time.Millisecond
+	// preloadInterval is the time between two reads while a shard is preloaded and
+	// no operation waits for it. All shards of a VM together then make 160 reads a
+	// second, so that a whole fleet can start at once.
+	preloadInterval = 100 * time.Millisecond
+	// submissionBuffer is the capacity of a shard's submission channel.
+	submissionBuffer = 256
 )
 
-// shard owns one shard's log in one goroutine. While a call is under way, what
-// comes meanwhile is collected and goes with the next one.
+// shard owns one shard's log in one goroutine. Operations that arrive while a call is
+// in flight are batched into the next call.
 type shard struct {
 	store   kv.Store
 	prefix  string
@@ -37,8 +37,8 @@
 	waiting map[uint64]chan claim.Verdict
 	ops     chan submission
 	done    chan struct{}
-	// wrote is when the last write began.
-	wrote time.Time
+	// lastWriteAt is when the last write began.
+	lastWriteAt time.Time
 }
 
 type submission struct {
@@ -52,13 +52,14 @@
 		prefix:  prefix,
 		log:     claim.NewLog(claim.Options{}),
 		waiting: make(map[uint64]chan claim.Verdict),
-		ops:     make(chan submission, submitted),
+		ops:     make(chan submission, submissionBuffer),
 		done:    make(chan struct{}),
 	}
 }
 
-// do submits an operation and waits for its verdict, or for ctx.
-func (s *shard) do(ctx context.Context, op claim.Op) claim.Verdict {
+// execute submits an operation and waits for its verdict. The verdict is
+// claim.ErrDeadline if ctx ends or the shard stops first.
+func (s *shard) execute(ctx context.Context, op claim.Op) claim.Verdict {
 	reply := make(chan claim.Verdict, 1)
 	select {
 	case s.ops <- submission{op: op, reply: reply}:
@@ -79,32 +80,32 @@
 
 func (s *shard) run(ctx context.Context) error {
 	defer close(s.done)
-	if err := s.warm(ctx); err != nil {
+	if err := s.preload(ctx); err != nil {
 		return err
 	}
 	for {
-		if err := s.collect(ctx); err != nil {
+		if err := s.drainSubmissions(ctx); err != nil {
 			return err
 		}
-		s.answer(s.log.Expire(time.Now()))
-		if s.gather(ctx) {
+		s.deliverVerdicts(s.log.Expire(time.Now()))
+		if s.waitForWriteInterval(ctx) {
 			continue
 		}
 		call, verdicts := s.log.Next(time.Now())
-		s.answer(verdicts)
+		s.deliverVerdicts(verdicts)
 		if call == nil {
 			continue
 		}
-		if !s.call(ctx, *call) {
-			pause(ctx, retryPause)
+		if !s.executeCall(ctx, *call) {
+			sleep(ctx, retryDelay)
 		}
 	}
 }
 
-// gather waits until the next write may begin, or until more comes that goes with
-// it. It reports whether it waited.
-func (s *shard) gather(ctx context.Context) bool {
-	left := groupWindow - time.Since(s.wrote)
+// waitForWriteInterval waits until the next write may begin, or until another
+// operation arrives that can be written with it. It reports whether it waited.
+func (s *shard) waitForWriteInterval(ctx context.Context) bool {
+	left := groupCommitInterval - time.Since(s.lastWriteAt)
 	if left <= 0 {
 		return false
 	}
@@ -112,27 +113,27 @@
 	defer timer.Stop()
 	select {
 	case m := <-s.ops:
-		s.submit(m)
+		s.enqueue(m)
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return true
 }
 
-// warm reads the shard before anybody asks for it, so that the first action does
-// not wait for all its segments to be read. It ends early if one comes.
-func (s *shard) warm(ctx context.Context) error {
+// preload reads the shard before it is needed, so that the first action does not wait
+// for all of the shard's segments to be read. It ends early if an operation arrives.
+func (s *shard) preload(ctx context.Context) error {
 	for {
 		call := s.log.Load()
 		if call == nil {
 			return nil
 		}
-		s.call(ctx, *call)
-		timer := time.NewTimer(warmPause)
+		s.executeCall(ctx, *call)
+		timer := time.NewTimer(preloadInterval)
 		select {
 		case m := <-s.ops:
 			timer.Stop()
-			s.submit(m)
+			s.enqueue(m)
 			return nil
 		case <-ctx.Done():
 			timer.Stop()
@@ -142,13 +143,13 @@
 	}
 }
 
-// collect takes all submissions that are there. It waits for one if nothing else
-// is to be done.
-func (s *shard) collect(ctx context.Context) error {
+// drainSubmissions enqueues all submissions in the channel. If no operation is
+// waiting it blocks until one is submitted.
+func (s *shard) drainSubmissions(ctx context.Context) error {
 	if s.log.Waiting() == 0 {
 		select {
 		case m := <-s.ops:
-			s.submit(m)
+			s.enqueue(m)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -156,7 +157,7 @@
 	for {
 		select {
 		case m := <-s.ops:
-			s.submit(m)
+			s.enqueue(m)
 		case <-ctx.Done():
 			return ctx.Err()
 		default:
@@ -165,48 +166,49 @@
 	}
 }
 
-func (s *shard) submit(m submission) {
+func (s *shard) enqueue(m submission) {
 	s.waiting[m.op.ID] = m.reply
 	s.log.Submit(m.op)
 }
 
-func (s *shard) answer(verdicts []claim.Verdict) {
+func (s *shard) deliverVerdicts(verdicts []claim.Verdict) {
 	for _, v := range verdicts {
 		s.waiting[v.ID] <- v
 		delete(s.waiting, v.ID)
 	}
 }
 
-// call makes one call and reports whether it brought something.
-func (s *shard) call(ctx context.Context, c claim.Call) bool {
+// executeCall makes one call to the key-value service and reports whether it succeeded
+// with a known outcome.
+func (s *shard) executeCall(ctx context.Context, c claim.Call) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	key := s.prefix + fmt.Sprintf("%02d", c.Slot)
 	if c.Swap {
-		return s.swap(ctx, key, c)
+		return s.compareAndSwap(ctx, key, c)
 	}
 	entry, err := s.store.Get(ctx, key)
 	switch {
 	case errors.Is(err, kv.ErrNotFound):
-		s.answer(s.log.Read(c.Slot, kv.RevisionAbsent, nil))
+		s.deliverVerdicts(s.log.Read(c.Slot, kv.RevisionAbsent, nil))
 	case err != nil:
 		s.log.Failed()
 		return false
 	default:
-		s.answer(s.log.Read(c.Slot, entry.Revision, entry.Value))
+		s.deliverVerdicts(s.log.Read(c.Slot, entry.Revision, entry.Value))
 	}
 	return true
 }
 
-func (s *shard) swap(ctx context.Context, key string, c claim.Call) bool {
-	s.wrote = time.Now()
+func (s *shard) compareAndSwap(ctx context.Context, key string, c claim.Call) bool {
+	s.lastWriteAt = time.Now()
 	result, err := s.store.CompareAndSwap(ctx, key, c.Expected, c.Value, kv.NoLease)
 	if err != nil {
-		// Whatever the error is, the write may still be on its way.
-		s.answer(s.log.Swapped(c.Slot, claim.Unknown, 0))
+		// Whatever the error is, the write may still take effect later.
+		s.deliverVerdicts(s.log.Swapped(c.Slot, claim.Unknown, 0))
 		return false
 	}
-	s.answer(s.log.Swapped(c.Slot, outcomeOf(result.Outcome), result.Revision))
+	s.deliverVerdicts(s.log.Swapped(c.Slot, outcomeOf(result.Outcome), result.Revision))
 	return result.Outcome != kv.Unknown
 }
 
@@ -220,7 +222,7 @@
 	return claim.Unknown
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
