--- a/internal/quota/quotaloop/doc.go
+++ b/internal/quota/quotaloop/doc.go
@@ -1,4 +1,5 @@
-// Package quotaloop steps many quota state machines by a plain loop over an
-// in-memory network and key-value service, for fuzzing and for measuring. It
-// models no engines and no workload beyond arrivals at the VMs.
+// Package quotaloop simulates a fleet of quota state machines in one event loop, with
+// an in-memory network and key-value service. It is used for fuzzing and for
+// measurements. It models neither engines nor any workload beyond the arrival of
+// requests at the VMs.
 package quotaloop
--- a/internal/quota/quotaloop/oracle.go
+++ b/internal/quota/quotaloop/oracle.go
@@ -8,75 +8,77 @@
 	"github.com/chestnutarch/chestnutarch/internal/quota"
 )
 
-// Ideal is the single bucket that the whole fleet should be like. Run over the
-// merged admissions of all VMs it checks in one pass that in every interval no
-// more than burst + rate x length was admitted: the balance falls below zero
-// exactly if some interval that ends now has exceeded it.
-type Ideal struct {
+// IdealBucket is a single token bucket for the whole fleet, the ideal that the leases
+// approximate. Run over the merged admissions of all VMs, it checks in one pass that
+// no interval admitted more than burst + rate x length: the balance falls below zero
+// exactly if some interval that ends now exceeds that bound.
+type IdealBucket struct {
 	rate, burst int64
-	level       int64
+	balance     int64
 	at          time.Duration
 }
 
-// NewIdeal returns a full bucket. The rate is in tokens a second.
-func NewIdeal(rate, burst int64) *Ideal {
-	return &Ideal{rate: rate, burst: burst, level: burst * quota.NanoPerToken}
+// NewIdealBucket returns a full bucket. The rate is in tokens per second, the burst
+// in tokens.
+func NewIdealBucket(rate, burst int64) *IdealBucket {
+	return &IdealBucket{rate: rate, burst: burst, balance: burst * quota.NanoPerToken}
 }
 
-func (b *Ideal) advance(now time.Duration) {
+func (b *IdealBucket) advance(now time.Duration) {
 	hi, accrued := bits.Mul64(uint64(b.rate), uint64(now-b.at))
 	b.at = now
-	room := b.burst*quota.NanoPerToken - b.level
+	room := b.burst*quota.NanoPerToken - b.balance
 	if hi > 0 || accrued > uint64(room) {
-		b.level += room
+		b.balance += room
 		return
 	}
-	b.level += int64(accrued)
+	b.balance += int64(accrued)
 }
 
-// Reshape changes rate and burst.
-func (b *Ideal) Reshape(now time.Duration, rate, burst int64) {
+// Reshape changes rate and burst and clips the balance to the new burst.
+func (b *IdealBucket) Reshape(now time.Duration, rate, burst int64) {
 	b.advance(now)
 	b.rate, b.burst = rate, burst
-	b.level = min(b.level, burst*quota.NanoPerToken)
+	b.balance = min(b.balance, burst*quota.NanoPerToken)
 }
 
-// Charge notes tokens that were admitted and returns an error if they exceed
-// the bound.
-func (b *Ideal) Charge(now time.Duration, tokens int64) error {
+// Charge charges tokens that the fleet admitted. It returns an *OverAdmission if they
+// exceed the bound.
+func (b *IdealBucket) Charge(now time.Duration, tokens int64) error {
 	b.advance(now)
-	b.level -= tokens * quota.NanoPerToken
-	if b.level < 0 {
-		return &OverAdmission{At: now, Nano: -b.level}
+	b.balance -= tokens * quota.NanoPerToken
+	if b.balance < 0 {
+		return &OverAdmission{At: now, NanoTokens: -b.balance}
 	}
 	return nil
 }
 
-// Refund notes tokens that went back.
-func (b *Ideal) Refund(now time.Duration, tokens int64) {
+// Refund adds refunded tokens. The balance never exceeds the burst.
+func (b *IdealBucket) Refund(now time.Duration, tokens int64) {
 	b.advance(now)
-	b.level = min(b.level+tokens*quota.NanoPerToken, b.burst*quota.NanoPerToken)
+	b.balance = min(b.balance+tokens*quota.NanoPerToken, b.burst*quota.NanoPerToken)
 }
 
-// Take charges the tokens if the bucket has them.
-func (b *Ideal) Take(now time.Duration, tokens int64) bool {
+// Take charges the tokens if the balance covers them, and reports whether it did.
+func (b *IdealBucket) Take(now time.Duration, tokens int64) bool {
 	b.advance(now)
-	if b.level < tokens*quota.NanoPerToken {
+	if b.balance < tokens*quota.NanoPerToken {
 		return false
 	}
-	b.level -= tokens * quota.NanoPerToken
+	b.balance -= tokens * quota.NanoPerToken
 	return true
 }
 
-// OverAdmission says that the fleet admitted more than burst + rate x length.
+// OverAdmission reports that the fleet admitted more than burst + rate x length in
+// some interval.
 type OverAdmission struct {
-	// At is the time since the start of the run.
+	// At is the time of the violation since the start of the run.
 	At time.Duration
-	// Nano is by how many nano-tokens.
-	Nano int64
+	// NanoTokens is the excess over the bound in nano-tokens.
+	NanoTokens int64
 }
 
-// Error returns the message.
+// Error implements error.
 func (e *OverAdmission) Error() string {
-	return fmt.Sprintf("quotaloop: %d nano-tokens over the bound at %s", e.Nano, e.At)
+	return fmt.Sprintf("quotaloop: admissions exceed burst + rate x length by %d nano-tokens at %s", e.NanoTokens, e.At)
 }
--- a/internal/quota/quotaloop/quotameasure/cost.go
+++ b/internal/quota/quotaloop/quotameasure/cost.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	costTeams   = 5
-	costLoad    = 80
-	costTime    = 30 * time.Second
-	costRounds  = 120
-	costDomains = 38
+	costTeams       = 5
+	costLoadPercent = 80
+	costDuration    = 30 * time.Second
+	costRounds      = 120
+	costDomains     = 38
 )
 
-// cpu returns the processor time that this process has used.
-func cpu() time.Duration {
+// processorTime returns the processor time that this process has used.
+func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
@@ -35,20 +35,20 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return int64(stats.HeapAlloc)
 }
 
-// quotaCost steps a fleet at four fifths of the rate with the demand spread over
-// all VMs. Requests and tokens per VM are the same at each size, those of the
-// target's 420 VMs.
+// quotaCost simulates a fleet whose demand is four fifths of the rate and is spread
+// over all VMs, and prints its cost. Requests and tokens per VM are the same at each
+// size: those of the target of 420 VMs.
 func quotaCost(vms int) error {
 	const tokensPerVM, requestsPerVM = 2_200_000 / 420, 5_200.0 / 420
 	rate := int64(tokensPerVM * vms / costTeams)
-	before := heap()
+	before := heapBytes()
 	w := quotaloop.New(quotaloop.Options{
 		VMs: vms, Domains: min(vms, costDomains), Teams: costTeams, Rate: rate, Burst: 2 * rate, Seed: 1,
 		Network: quotaloop.NetworkFaults{Delay: 250 * time.Microsecond, Jitter: 200 * time.Microsecond},
@@ -59,11 +59,12 @@
 	causes := make(map[quota.Cause]int64)
 	kinds := make(map[string]int64)
 	var batches int64
-	last := make(map[[2]string]time.Duration)
+	lastRequestAt := make(map[[2]string]time.Duration)
 	w.OnSend = func(from, to string, m quota.Message) {
-		// Messages of one step to one VM travel in one call; answers come back in it.
-		if pair := [2]string{from, to}; last[pair] != w.Now && isRequest(m) {
-			last[pair] = w.Now
+		// Messages of one step to one VM share one call, and their answers return in
+		// that call.
+		if pair := [2]string{from, to}; lastRequestAt[pair] != w.Now && isRequest(m) {
+			lastRequestAt[pair] = w.Now
 			batches++
 		}
 		kinds[kindOf(m)]++
@@ -77,35 +78,35 @@
 		}
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	var ideal []*quotaloop.Ideal
+	var ideal []*quotaloop.IdealBucket
 	for range costTeams {
-		ideal = append(ideal, quotaloop.NewIdeal(rate, 2*rate))
+		ideal = append(ideal, quotaloop.NewIdealBucket(rate, 2*rate))
 	}
 	var arrive func()
 	arrive = func() {
 		tokens := 1 + int64(rng.ExpFloat64()*tokensPerVM/requestsPerVM)
 		team := rng.IntN(costTeams)
 		w.AcquireTagged(quotaloop.VM(rng.IntN(vms)), team, tokens, ideal[team].Take(w.Now, tokens))
-		gap := rng.ExpFloat64() * float64(time.Second) * 100 / costLoad / (requestsPerVM * float64(vms))
+		gap := rng.ExpFloat64() * float64(time.Second) * 100 / costLoadPercent / (requestsPerVM * float64(vms))
 		w.At(w.Now+time.Duration(gap), arrive)
 	}
 	if err := w.Run(warmUp); err != nil {
 		return err
 	}
 	w.At(w.Now, arrive)
-	sent, calls, used := w.Sent, w.Calls, cpu()
+	sent, calls, used := w.MessagesSent, w.Calls, processorTime()
 	bytes = 0
 	batches = 0
 	clear(kinds)
-	if err := w.Run(warmUp + costTime); err != nil {
+	if err := w.Run(warmUp + costDuration); err != nil {
 		return err
 	}
-	used = cpu() - used
-	perVM := float64(vms) * costTime.Seconds()
-	memory := float64(heap()-before) / float64(vms) / 1024
+	used = processorTime() - used
+	perVM := float64(vms) * costDuration.Seconds()
+	memory := float64(heapBytes()-before) / float64(vms) / 1024
 	fmt.Printf("| %d | %.1f | %.1f | %.2f KB/s | %.3f%% | %.0f KB | %.1f | %s | %v | %v |\n", vms,
-		float64(w.Sent-sent)/perVM, float64(batches)/perVM, float64(bytes)/perVM/1000, 100*used.Seconds()/perVM, memory,
-		float64(w.Calls-calls)/costTime.Seconds(), percent(refused, requests), causes, kinds)
+		float64(w.MessagesSent-sent)/perVM, float64(batches)/perVM, float64(bytes)/perVM/1000, 100*used.Seconds()/perVM, memory,
+		float64(w.Calls-calls)/costDuration.Seconds(), percent(refused, requests), causes, kinds)
 	runtime.KeepAlive(w)
 	return nil
 }
@@ -120,7 +121,7 @@
 	}
 }
 
-// kindOf names a message for the table.
+// kindOf returns the name of a message's kind for the table.
 func kindOf(m quota.Message) string {
 	switch m := m.(type) {
 	case quota.Ask:
@@ -139,13 +140,13 @@
 	}
 }
 
-// membershipCost steps the membership machines of a fleet.
+// membershipCost simulates the membership machines of a fleet and prints their cost.
 func membershipCost(vms int) {
 	now := time.Unix(0, 0)
 	states := make(map[string]*membership.State, vms)
 	var all []*membership.State
 	var addresses []string
-	before := heap()
+	before := heapBytes()
 	for i := range vms {
 		address := fmt.Sprintf("10.%d.%d.1:7000", i/256, i%256)
 		s := membership.New(membership.Config{}, membership.Node{
@@ -182,21 +183,21 @@
 		round()
 	}
 	messages, bytes = 0, 0
-	used := cpu()
+	used := processorTime()
 	for range costRounds {
 		round()
 	}
-	used = cpu() - used
+	used = processorTime() - used
 	perVM := float64(vms) * costRounds
 	known := len(all[0].View(now).Healthy())
 	fmt.Printf("| %d | %.1f | %.2f KB/s | %.3f%% | %.0f KB | %d |\n", vms, float64(messages)/perVM,
-		float64(bytes)/perVM/1000, 100*used.Seconds()/perVM, float64(heap()-before)/float64(vms)/1024, known)
+		float64(bytes)/perVM/1000, 100*used.Seconds()/perVM, float64(heapBytes()-before)/float64(vms)/1024, known)
 	runtime.KeepAlive(all)
 	runtime.KeepAlive(states)
 }
 
-func cost(sizes []int) error {
-	fmt.Println("quota, per VM and second: messages and calls sent, payload sent, share of a core with the loop's own work, heap; key-value calls a second of the whole fleet; requests refused that the ideal bucket admits, their causes; messages by kind in all")
+func measureCost(sizes []int) error {
+	fmt.Println("quota, per VM and second: messages and calls sent, payload sent, share of a core including the work of the simulation, heap; key-value calls per second of the whole fleet; share of requests refused although the ideal bucket admits them, with their causes; total messages by kind")
 	fmt.Println("| VMs | messages | calls | payload | core | heap | kv calls/s | refused | causes | kinds |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|---|")
 	for _, vms := range sizes {
@@ -204,7 +205,7 @@
 			return err
 		}
 	}
-	fmt.Println("\nmembership, per VM and second: messages sent, payload sent, share of a core, heap; VMs known to one")
+	fmt.Println("\nmembership, per VM and second: messages sent, payload sent, share of a core, heap; VMs that the first VM knows to be healthy")
 	fmt.Println("| VMs | messages | payload | core | heap | known |")
 	fmt.Println("|---|---|---|---|---|---|")
 	for _, vms := range sizes {
--- a/internal/quota/quotaloop/quotameasure/doc.go
+++ b/internal/quota/quotaloop/quotameasure/doc.go
@@ -1,8 +1,15 @@
-// Command quotameasure measures the quota leases by a plain loop: how much of
-// what an ideal single bucket admits they refuse, against equal static parts,
-// and what they cost in messages, bytes, processor time and calls to the
-// key-value service at several sizes of fleet.
+// Command quotameasure measures the quota leases in the simulation of package
+// quotaloop:
+//
+//   - refusals: how much of what an ideal single bucket admits the leases refuse,
+//     compared with equal static parts
+//   - cost: messages, bytes, processor time, memory and calls to the key-value
+//     service at several fleet sizes
+//   - wire: bytes and processor time of one call between VMs
+//
+// Usage:
 //
 //	go run ./internal/quota/quotaloop/quotameasure refusals
 //	go run ./internal/quota/quotaloop/quotameasure cost
+//	go run ./internal/quota/quotaloop/quotameasure wire
 package main
--- a/internal/quota/quotaloop/quotameasure/wire.go
+++ b/internal/quota/quotaloop/quotameasure/wire.go
@@ -20,7 +20,7 @@
 	wireTimeout = 2 * time.Second
 )
 
-// countingListener counts what goes over its connections in both directions.
+// countingListener counts the bytes sent and received over its connections.
 type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
@@ -31,7 +31,7 @@
 	bytes *atomic.Int64
 }
 
-// Accept wraps the connection.
+// Accept implements net.Listener. It wraps the connection to count its bytes.
 func (l *countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -40,34 +40,35 @@
 	return countingConn{conn, &l.bytes}, nil
 }
 
-// Read counts what came in.
+// Read implements net.Conn and counts the bytes read.
 func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write counts what went out.
+// Write implements net.Conn and counts the bytes written.
 func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// echo answers every batch with one answer.
-type echo struct {
+// fixedAnswerServer answers every batch with the same answer.
+type fixedAnswerServer struct {
 	peerpb.UnimplementedQuotaServer
 	answer *peerpb.QuotaBatch
 }
 
 // Exchange implements peerpb.QuotaServer.
-func (e echo) Exchange(context.Context, *peerpb.QuotaBatch) (*peerpb.QuotaBatch, error) {
+func (e fixedAnswerServer) Exchange(context.Context, *peerpb.QuotaBatch) (*peerpb.QuotaBatch, error) {
 	return e.answer, nil
 }
 
-// wire measures what a call costs beyond its payload: the frames and headers of
+// measureWire measures the cost of a call in payload, in bytes on the connection and in
+// processor time. The bytes on the connection include the frames and headers of
 // HTTP/2, but not those of TCP and IP.
-func wire(ctx context.Context) error {
+func measureWire(ctx context.Context) error {
 	plainText := peer.Security{AllowPlainText: true}
 	server, err := peer.NewServer(plainText)
 	if err != nil {
@@ -82,14 +83,14 @@
 	if err != nil {
 		return err
 	}
-	loan := quota.LoanID{Borrower: quota.Holder{VM: vmID, Incarnation: 1_780_000_000_000_000_000}, Number: 1 << 20}
-	request := &peerpb.QuotaBatch{From: vmID, Messages: []*peerpb.QuotaMessage{
+	loan := quota.LoanID{Borrower: quota.Holder{VM: sampleVM, Incarnation: 1_780_000_000_000_000_000}, Number: 1 << 20}
+	request := &peerpb.QuotaBatch{From: sampleVM, Messages: []*peerpb.QuotaMessage{
 		ratelimit.Encode(quota.Ask{Loan: loan, Team: "drafting", Units: 5000, Balance: 1 << 40}),
 	}}
-	answer := &peerpb.QuotaBatch{From: vmID, Messages: []*peerpb.QuotaMessage{
+	answer := &peerpb.QuotaBatch{From: sampleVM, Messages: []*peerpb.QuotaMessage{
 		ratelimit.Encode(quota.Answer{Loan: loan, Team: "drafting", Units: 5000, Balance: 1 << 40, TTL: time.Second, Left: 1 << 40}),
 	}}
-	server.RegisterQuota(echo{answer: answer})
+	server.RegisterQuota(fixedAnswerServer{answer: answer})
 	counted := &countingListener{Listener: lis}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -98,18 +99,18 @@
 		return err
 	}
 	counted.bytes.Store(0)
-	used, started := cpu(), time.Now()
+	used, started := processorTime(), time.Now()
 	for range wireCalls {
 		if _, err := pool.ExchangeQuota(ctx, lis.Addr().String(), wireTimeout, request); err != nil {
 			return err
 		}
 	}
-	used = cpu() - used
+	used = processorTime() - used
 	payload := proto.Size(request) + proto.Size(answer)
-	fmt.Printf("one call with its answer: payload %d bytes, on the connection %d bytes; both ends together %s of processor time, %s a call in turn\n",
+	fmt.Printf("one call with its answer: payload %d bytes, on the connection %d bytes; processor time of both ends together %s, duration %s per call, one call at a time\n",
 		payload, counted.bytes.Load()/wireCalls, used/wireCalls, time.Since(started)/wireCalls)
 	return nil
 }
 
-// vmID is a VM ID of ordinary length.
-const vmID = "gt-entry-7"
+// sampleVM is a VM ID of typical length.
+const sampleVM = "gt-entry-7"
--- a/internal/quota/quotaloop/store.go
+++ b/internal/quota/quotaloop/store.go
@@ -6,32 +6,33 @@
 	"github.com/chestnutarch/chestnutarch/internal/quota"
 )
 
-// storeRead answers a Read, or says after a while that there was no answer.
-func (w *World) storeRead(n *node, r quota.Read) {
+// handleRead answers a Read. If there is no answer within storeTimeout it reports that
+// to the machine.
+func (w *World) handleRead(n *node, r quota.Read) {
 	w.Calls++
 	answered := false
-	w.toStore(n, func() {
+	w.sendToStore(n, func() {
 		entry := w.store[r.Key]
-		w.fromStore(func() {
+		w.replyFromStore(func() {
 			if answered {
 				return
 			}
 			answered = true
-			w.on(n, func() { n.machine.ReadDone(w.reading(n), r.Op, &entry) })
+			w.runStep(n, func() { n.machine.ReadDone(w.clockReading(n), r.Op, &entry) })
 		})
 	})
-	w.after(storeTimeout, func() {
+	w.schedule(storeTimeout, func() {
 		if answered {
 			return
 		}
 		answered = true
-		w.on(n, func() { n.machine.ReadDone(w.reading(n), r.Op, nil) })
+		w.runStep(n, func() { n.machine.ReadDone(w.clockReading(n), r.Op, nil) })
 	})
 }
 
-// storeWrite answers a Write. The write may take effect after its caller was
-// told that nothing is known.
-func (w *World) storeWrite(n *node, c quota.Write) {
+// handleWrite answers a Write, with quota.Unknown if there is no answer within
+// storeTimeout. The write may still take effect after that.
+func (w *World) handleWrite(n *node, c quota.Write) {
 	w.Calls++
 	answered := false
 	answer := func(outcome quota.Outcome, revision int64, current *quota.Entry) {
@@ -39,152 +40,156 @@
 			return
 		}
 		answered = true
-		w.on(n, func() { n.machine.Wrote(w.reading(n), c.Op, outcome, revision, current) })
+		w.runStep(n, func() { n.machine.Wrote(w.clockReading(n), c.Op, outcome, revision, current) })
 	}
-	w.toStore(n, func() {
+	w.sendToStore(n, func() {
 		current := w.store[c.Key]
 		if current.Revision != c.Expected {
-			w.fromStore(func() { answer(quota.DidNot, 0, &current) })
+			w.replyFromStore(func() { answer(quota.DidNot, 0, &current) })
 			return
 		}
-		w.stamp++
-		revision := w.stamp
+		w.lastRevision++
+		revision := w.lastRevision
 		w.store[c.Key] = quota.Entry{Value: c.Value, Revision: revision}
-		w.notify(c.Key)
-		w.fromStore(func() { answer(quota.TookEffect, revision, nil) })
+		w.notifyWatches(c.Key)
+		w.replyFromStore(func() { answer(quota.TookEffect, revision, nil) })
 	})
-	w.after(storeTimeout, func() { answer(quota.Unknown, 0, nil) })
+	w.schedule(storeTimeout, func() { answer(quota.Unknown, 0, nil) })
 }
 
-// notify lets every VM's watch deliver a change, unless the answer is lost.
-func (w *World) notify(key string) {
+// notifyWatches delivers a change of the assignment through every VM's watch, unless
+// the answer is lost.
+func (w *World) notifyWatches(key string) {
 	entry := w.store[key]
 	for _, n := range w.nodes {
-		if !n.alive || key != n.machine.AssignmentKey() || w.storeCut[n.vm] {
+		if !n.alive || key != n.machine.AssignmentKey() || w.cutFromStore[n.vm] {
 			continue
 		}
-		w.fromStore(func() {
-			w.on(n, func() { n.machine.Observe(key, entry) })
+		w.replyFromStore(func() {
+			w.runStep(n, func() { n.machine.Observe(key, entry) })
 		})
 	}
 }
 
-// toStore carries a call to the service, where it may be lost.
-func (w *World) toStore(n *node, run func()) {
-	if w.Store.Down || w.storeCut[n.vm] {
+// sendToStore delivers a call to the key-value service. During an outage, or if the VM
+// is cut off from the service, the call is lost.
+func (w *World) sendToStore(n *node, run func()) {
+	if w.Store.Down || w.cutFromStore[n.vm] {
 		return
 	}
-	delay := w.spread(w.Store.Delay, w.Store.Jitter)
+	delay := w.withJitter(w.Store.Delay, w.Store.Jitter)
 	if w.chance(w.Store.Late) {
-		delay = w.spread(delay, w.Store.LateBy)
+		delay = w.withJitter(delay, w.Store.LateBy)
 	}
-	w.after(delay, run)
+	w.schedule(delay, run)
 }
 
-// fromStore carries an answer back.
-func (w *World) fromStore(run func()) {
+// replyFromStore delivers an answer of the key-value service, unless it is lost.
+func (w *World) replyFromStore(run func()) {
 	if w.Store.Down || w.chance(w.Store.Lost) {
 		return
 	}
-	w.after(w.spread(w.Store.Delay, w.Store.Jitter), run)
+	w.schedule(w.withJitter(w.Store.Delay, w.Store.Jitter), run)
 }
 
-// Write stores a value as an operator would.
+// Write stores a value under a key without delay or fault, as an operator would.
 func (w *World) Write(key string, value []byte) {
-	w.stamp++
-	w.store[key] = quota.Entry{Value: value, Revision: w.stamp}
+	w.lastRevision++
+	w.store[key] = quota.Entry{Value: value, Revision: w.lastRevision}
 }
 
-// Entry returns what a key holds.
+// Entry returns the entry of a key.
 func (w *World) Entry(key string) quota.Entry {
 	return w.store[key]
 }
 
-// Acquire lets a request arrive at a VM. It reports false if no process runs there.
+// Acquire submits a request of the first team at a VM. It returns false if the VM's
+// process has ended or is paused.
 func (w *World) Acquire(vm string, tokens int64) bool {
 	return w.AcquireTagged(vm, 0, tokens, false)
 }
 
-// AcquireTagged is Acquire for one of the teams, with a mark that OnVerdict is
-// given back.
+// AcquireTagged is Acquire for the team with the given index. OnVerdict receives the
+// tag.
 func (w *World) AcquireTagged(vm string, team int, tokens int64, tag bool) bool {
-	n := w.current[vm]
+	n := w.currentNodes[vm]
 	if !n.alive || n.paused {
 		return false
 	}
-	w.numbers++
-	number := w.numbers
+	w.lastNumber++
+	number := w.lastNumber
 	w.requests[number] = request{team: team, tokens: tokens, at: w.Now, tag: tag}
-	w.on(n, func() { n.machine.Acquire(w.reading(n), number, Team(team), tokens) })
+	w.runStep(n, func() { n.machine.Acquire(w.clockReading(n), number, Team(team), tokens) })
 	return true
 }
 
-// Settle corrects a charge at a VM by tokens that go back, or a debt if negative.
+// Settle corrects a charge of the first team at a VM: by a refund, or by a debt if
+// tokens is negative.
 func (w *World) Settle(vm string, tokens int64) {
-	n := w.current[vm]
+	n := w.currentNodes[vm]
 	if !n.alive || n.paused {
 		return
 	}
 	if tokens > 0 {
-		w.ideal[0].Refund(w.Now, tokens)
+		w.idealBuckets[0].Refund(w.Now, tokens)
 	}
-	w.on(n, func() { n.machine.Settle(w.reading(n), Team(0), tokens) })
+	w.runStep(n, func() { n.machine.Settle(w.clockReading(n), Team(0), tokens) })
 }
 
 // Kill ends a VM's process.
 func (w *World) Kill(vm string) {
-	w.current[vm].alive = false
+	w.currentNodes[vm].alive = false
 }
 
-// Restart starts a new process on a VM. The old one, if it is paused, lives on
-// but takes in no messages from now on; if it runs, it ends.
+// Restart starts a new process on a VM. If the old process is paused it stays alive
+// but receives no more messages; otherwise it ends.
 func (w *World) Restart(vm string) {
-	old := w.current[vm]
+	old := w.currentNodes[vm]
 	if !old.paused {
 		old.alive = false
 	}
 	w.start(vm, old.domain)
 }
 
-// Pause halts a VM's process for a time. The monotonic clock may stand still
-// meanwhile; the wall clock runs on.
+// Pause pauses a VM's process for a time. With stopMono its monotonic clock stands
+// still meanwhile; the wall clock keeps running.
 func (w *World) Pause(vm string, length time.Duration, stopMono bool) {
-	n := w.current[vm]
+	n := w.currentNodes[vm]
 	if !n.alive || n.paused {
 		return
 	}
 	n.paused, n.pausedAt, n.stopMono = true, w.Now, stopMono
-	w.after(length, func() { w.wake(n) })
+	w.schedule(length, func() { w.resume(n) })
 }
 
-func (w *World) wake(n *node) {
+func (w *World) resume(n *node) {
 	if n.stopMono {
-		n.monoLost += w.Now - n.pausedAt
+		n.monoStopped += w.Now - n.pausedAt
 	}
 	n.paused = false
 	backlog := n.backlog
 	n.backlog = nil
 	for _, step := range backlog {
-		w.on(n, step)
+		w.runStep(n, step)
 	}
 }
 
-// SetWall sets a VM's wall clock off by a further time.
+// SetWall shifts a VM's wall clock by a further duration.
 func (w *World) SetWall(vm string, by time.Duration) {
-	w.current[vm].wallSet += by
+	w.currentNodes[vm].wallOffset += by
 }
 
-// Cut keeps messages from one VM to another from arriving; Mend ends that.
-func (w *World) Cut(from, to string) { w.cut[[2]string{from, to}] = true }
+// Cut drops messages from one VM to another until Mend.
+func (w *World) Cut(from, to string) { w.cutLinks[[2]string{from, to}] = true }
 
-// Mend lets messages arrive again.
-func (w *World) Mend(from, to string) { delete(w.cut, [2]string{from, to}) }
+// Mend ends a Cut, so that messages from one VM to the other arrive again.
+func (w *World) Mend(from, to string) { delete(w.cutLinks, [2]string{from, to}) }
 
-// Isolate cuts a VM off from the service, and from the other VMs if all is set,
-// until Rejoin.
+// Isolate cuts a VM off from the key-value service until RejoinStore, and if all is
+// set also from the other VMs until RejoinPeers.
 func (w *World) Isolate(vm string, all bool) {
-	w.storeCut[vm] = true
-	for other := range w.current {
+	w.cutFromStore[vm] = true
+	for other := range w.currentNodes {
 		if all {
 			w.Cut(vm, other)
 			w.Cut(other, vm)
@@ -192,44 +197,45 @@
 	}
 }
 
-// RejoinPeers lets a VM and the others hear each other again.
+// RejoinPeers restores the messages between a VM and the others in both directions.
 func (w *World) RejoinPeers(vm string) {
-	for other := range w.current {
+	for other := range w.currentNodes {
 		w.Mend(vm, other)
 		w.Mend(other, vm)
 	}
 }
 
-// RejoinStore lets a VM reach the service again.
+// RejoinStore reconnects a VM to the key-value service.
 func (w *World) RejoinStore(vm string) {
-	delete(w.storeCut, vm)
+	delete(w.cutFromStore, vm)
 }
 
-// SetStore changes the service's faults.
+// SetStore changes the faults of the key-value service.
 func (w *World) SetStore(change func(f *StoreFaults)) { change(&w.Store) }
 
-// Leave starts a graceful stop of a VM's process.
+// Leave starts a graceful shutdown of a VM's process.
 func (w *World) Leave(vm string) {
-	w.current[vm].machine.Leave()
+	w.currentNodes[vm].machine.Leave()
 }
 
-// Left reports whether a VM has given everything away.
+// Left reports whether a VM has handed over all that it held, after Leave.
 func (w *World) Left(vm string) bool {
-	return w.current[vm].machine.Left()
+	return w.currentNodes[vm].machine.Left()
 }
 
-// Alive reports whether a VM's present process runs.
+// Alive reports whether a VM's current process is running and not paused.
 func (w *World) Alive(vm string) bool {
-	return w.current[vm].alive && !w.current[vm].paused
+	return w.currentNodes[vm].alive && !w.currentNodes[vm].paused
 }
 
-// SetLimits puts new limits in force, at each VM after a delay of at most spread.
-// The bound is that of the larger limits from the first VM to the last.
+// SetLimits applies new limits to every team, at each VM after a random delay of at
+// most spread. Until the last VM has applied them, the fleet is checked against the
+// larger of the old and the new limits.
 func (w *World) SetLimits(rate, burst int64, spread time.Duration) {
 	old := w.limits[0]
 	w.version++
 	version := w.version
-	next := limits(len(w.limits), rate, burst)
+	next := equalLimits(len(w.limits), rate, burst)
 	w.limits = next
 	w.reshape(max(rate, old.Rate), max(burst, old.Burst))
 	left := len(w.nodes)
@@ -239,13 +245,13 @@
 		}
 	}
 	for _, n := range w.nodes {
-		w.after(w.spread(0, spread), func() {
+		w.schedule(w.withJitter(0, spread), func() {
 			if !n.alive {
 				done()
 				return
 			}
-			w.on(n, func() {
-				n.machine.SetLimits(w.reading(n), version, next)
+			w.runStep(n, func() {
+				n.machine.SetLimits(w.clockReading(n), version, next)
 				done()
 			})
 		})
@@ -253,12 +259,12 @@
 }
 
 func (w *World) reshape(rate, burst int64) {
-	for _, ideal := range w.ideal {
+	for _, ideal := range w.idealBuckets {
 		ideal.Reshape(w.Now, rate, burst)
 	}
 }
 
-// Stats returns the counters of a VM's present machine.
+// Stats returns the counters of a VM's current machine.
 func (w *World) Stats(vm string) quota.Stats {
-	return w.current[vm].machine.Stats()
+	return w.currentNodes[vm].machine.Stats()
 }
--- a/internal/quota/quotaloop/world.go
+++ b/internal/quota/quotaloop/world.go
@@ -13,116 +13,126 @@
 	"github.com/chestnutarch/chestnutarch/internal/quota"
 )
 
-// Team returns the name of the team with an index.
+// Team returns the name of the team with the given index.
 func Team(i int) string {
 	return fmt.Sprintf("team%d", i)
 }
 
-// Options configure a world.
+// Options configures a World.
 type Options struct {
-	// VMs and Domains are the sizes of the fleet.
+	// VMs and Domains are the numbers of VMs and of failure domains.
 	VMs, Domains int
 	// Teams is the number of teams. The default is 1.
 	Teams int
-	// Rate and Burst are each team's.
+	// Rate and Burst are the limits of each team, in tokens per second and in
+	// tokens.
 	Rate, Burst int64
-	// Seed fixes every random choice.
+	// Seed determines every random choice of the World.
 	Seed uint64
-	// Network and Store hold the first faults.
+	// Network and Store are the initial network and store faults.
 	Network NetworkFaults
 	Store   StoreFaults
-	// Config changes the machines' settings.
+	// Config holds the machines' settings. World sets Self, Address and
+	// FailureDomain.
 	Config quota.Config
-	// Tick is the time between a machine's ticks.
+	// Tick is the time between a machine's ticks. The default is 10ms.
 	Tick time.Duration
-	// Hook is called with every new machine. It may be nil.
+	// Hook is called with every new machine before its first step. It may be nil.
 	Hook func(m *quota.Machine)
 }
 
-// NetworkFaults say how messages travel.
+// NetworkFaults configures delay, loss and duplication of messages.
 type NetworkFaults struct {
-	// Delay and Jitter give a message's time on the way.
+	// Delay is the minimum latency of a message and Jitter the bound of the random
+	// latency added to it.
 	Delay, Jitter time.Duration
-	// Loss and Repeat are shares in a thousand.
+	// Loss and Repeat are the shares, in a thousand, of messages that are lost and
+	// that are delivered twice.
 	Loss, Repeat int
-	// Late is a share in a thousand of messages that take up to LateBy more.
+	// Late is the share, in a thousand, of messages that are delayed by up to LateBy
+	// more.
 	Late   int
 	LateBy time.Duration
 }
 
-// StoreFaults say how the key-value service answers.
+// StoreFaults configures outages, delay and loss at the key-value service.
 type StoreFaults struct {
-	// Down means that it takes in nothing.
+	// Down means that the service accepts no calls and returns no answers.
 	Down bool
-	// Delay and Jitter give the time of a call each way.
+	// Delay is the minimum latency of a call in each direction and Jitter the bound
+	// of the random latency added to it.
 	Delay, Jitter time.Duration
-	// Lost is the share in a thousand of answers that are lost.
+	// Lost is the share, in a thousand, of answers that are lost.
 	Lost int
-	// Late is the share in a thousand of calls that take effect up to LateBy
-	// later, after the caller has given up.
+	// Late is the share, in a thousand, of calls that take effect up to LateBy
+	// later, possibly after the caller has timed out.
 	Late   int
 	LateBy time.Duration
 }
 
-// storeTimeout is when a caller of the key-value service gives up.
+// storeTimeout is the timeout of a call to the key-value service.
 const storeTimeout = 400 * time.Millisecond
 
-// viewEvery is how often a VM's picture of the fleet changes.
-const viewEvery = 200 * time.Millisecond
+// viewInterval is the least time between updates of a VM's view of the fleet.
+const viewInterval = 200 * time.Millisecond
 
-// heardFor is how long the membership takes to notice a silent VM.
-const heardFor = 3 * time.Second
+// silenceTimeout is how long the simulated membership takes to detect that a VM has
+// stopped reporting.
+const silenceTimeout = 3 * time.Second
 
-// node is one process on a VM. A VM whose process was replaced while paused has
-// two, of which the later one takes in messages.
+// node is one process on a VM. A VM whose process was replaced while it was paused has
+// two processes, of which only the newer one receives messages.
 type node struct {
 	vm      string
 	domain  string
 	machine *quota.Machine
 	alive   bool
 	paused  bool
-	// monoLost is how long the monotonic clock stood still, wallSet how far the
-	// wall clock was set off.
-	monoLost time.Duration
-	wallSet  time.Duration
-	pausedAt time.Duration
-	// stopMono says that the monotonic clock stands still while paused.
-	stopMono bool
-	backlog  []func()
-	lastSeen time.Duration
-	viewed   time.Duration
+	// monoStopped is how long the monotonic clock has stood still in total,
+	// wallOffset the offset of the wall clock.
+	monoStopped time.Duration
+	wallOffset  time.Duration
+	pausedAt    time.Duration
+	// stopMono means that the monotonic clock stands still during the pause.
+	stopMono      bool
+	backlog       []func()
+	lastTickAt    time.Duration
+	viewUpdatedAt time.Duration
 }
 
-// World is a fleet with its network and key-value service.
+// World is a simulated fleet with its network and key-value service.
 type World struct {
 	Options
-	// Now is the true time since the start.
+	// Now is the simulated time since the start, independent of the VMs' clocks.
 	Now time.Duration
-	// Store holds the keys.
-	store   map[string]quota.Entry
-	stamp   int64
-	nodes   []*node
-	current map[string]*node
-	names   []string
-	queue   events
-	order   uint64
-	rng     *rand.Rand
-	ideal   []*Ideal
-	limits  []quota.Limit
-	version int64
-	// cut holds pairs of VMs that do not hear each other.
-	cut      map[[2]string]bool
-	storeCut map[string]bool
-	requests map[uint64]request
-	numbers  uint64
-	errors   []error
-
-	// Sent counts messages, Calls calls to the store.
-	Sent, Calls int64
-	// Verdicts counts by cause, with "" for admitted; Tokens sums sizes.
+	// store holds the entries of the key-value service.
+	store        map[string]quota.Entry
+	lastRevision int64
+	nodes        []*node
+	currentNodes map[string]*node
+	vmNames      []string
+	queue        events
+	lastOrder    uint64
+	rng          *rand.Rand
+	idealBuckets []*IdealBucket
+	limits       []quota.Limit
+	version      int64
+	// cutLinks holds the pairs of sender and receiver whose messages are dropped,
+	// cutFromStore the VMs that cannot reach the key-value service.
+	cutLinks     map[[2]string]bool
+	cutFromStore map[string]bool
+	requests     map[uint64]request
+	lastNumber   uint64
+	violations   []error
+
+	// MessagesSent counts messages, Calls calls to the key-value service.
+	MessagesSent, Calls int64
+	// Verdicts counts the requests by cause of refusal, with "" for admitted ones.
+	// Tokens sums their sizes in the same way.
 	Verdicts map[quota.Cause]int64
 	Tokens   map[quota.Cause]int64
-	// OnVerdict is called with every verdict. It may be nil.
+	// OnVerdict is called with every verdict, the time that the request waited and
+	// the tag given to AcquireTagged. It may be nil.
 	OnVerdict func(vm string, tokens int64, v quota.Verdict, waited time.Duration, tag bool)
 	// OnSend is called with every message. It may be nil.
 	OnSend func(from, to string, message quota.Message)
@@ -159,33 +169,33 @@
 	return last
 }
 
-// New returns a world whose VMs have just started.
+// New returns a World whose VMs have just started.
 func New(options Options) *World {
 	options.Tick = cmp.Or(options.Tick, 10*time.Millisecond)
 	w := &World{
-		Options:  options,
-		store:    make(map[string]quota.Entry),
-		current:  make(map[string]*node),
-		rng:      rand.New(rand.NewPCG(options.Seed, 1)),
-		version:  1,
-		cut:      make(map[[2]string]bool),
-		storeCut: make(map[string]bool),
-		requests: make(map[uint64]request),
-		Verdicts: make(map[quota.Cause]int64),
-		Tokens:   make(map[quota.Cause]int64),
+		Options:      options,
+		store:        make(map[string]quota.Entry),
+		currentNodes: make(map[string]*node),
+		rng:          rand.New(rand.NewPCG(options.Seed, 1)),
+		version:      1,
+		cutLinks:     make(map[[2]string]bool),
+		cutFromStore: make(map[string]bool),
+		requests:     make(map[uint64]request),
+		Verdicts:     make(map[quota.Cause]int64),
+		Tokens:       make(map[quota.Cause]int64),
 	}
-	w.limits = limits(max(options.Teams, 1), options.Rate, options.Burst)
+	w.limits = equalLimits(max(options.Teams, 1), options.Rate, options.Burst)
 	for range w.limits {
-		w.ideal = append(w.ideal, NewIdeal(options.Rate, options.Burst))
+		w.idealBuckets = append(w.idealBuckets, NewIdealBucket(options.Rate, options.Burst))
 	}
 	for i := range options.VMs {
 		w.start(VM(i), fmt.Sprintf("d%d", i%max(options.Domains, 1)))
 	}
-	w.names = slices.Sorted(maps.Keys(w.current))
+	w.vmNames = slices.Sorted(maps.Keys(w.currentNodes))
 	return w
 }
 
-func limits(teams int, rate, burst int64) []quota.Limit {
+func equalLimits(teams int, rate, burst int64) []quota.Limit {
 	var all []quota.Limit
 	for i := range teams {
 		all = append(all, quota.Limit{Team: Team(i), Rate: rate, Burst: burst})
@@ -193,70 +203,71 @@
 	return all
 }
 
-// VM returns the ID of the VM with an index.
+// VM returns the ID of the VM with the given index.
 func VM(i int) string {
 	return fmt.Sprintf("vm%03d", i)
 }
 
 func (w *World) start(vm, domain string) {
-	w.numbers++
-	n := &node{vm: vm, domain: domain, alive: true, lastSeen: w.Now}
+	w.lastNumber++
+	n := &node{vm: vm, domain: domain, alive: true, lastTickAt: w.Now}
 	cfg := w.Config
-	cfg.Self = quota.Holder{VM: vm, Incarnation: 1000 * w.numbers}
+	cfg.Self = quota.Holder{VM: vm, Incarnation: 1000 * w.lastNumber}
 	cfg.Address = vm
 	cfg.FailureDomain = domain
-	n.machine = quota.New(w.reading(n), cfg)
+	n.machine = quota.New(w.clockReading(n), cfg)
 	if w.Hook != nil {
 		w.Hook(n.machine)
 	}
-	n.machine.SetLimits(w.reading(n), w.version, w.limits)
+	n.machine.SetLimits(w.clockReading(n), w.version, w.limits)
 	w.nodes = append(w.nodes, n)
-	w.current[vm] = n
-	w.after(time.Duration(w.rng.Int64N(int64(w.Tick))), func() { w.tick(n) })
+	w.currentNodes[vm] = n
+	w.schedule(time.Duration(w.rng.Int64N(int64(w.Tick))), func() { w.tick(n) })
 }
 
-func (w *World) reading(n *node) clock.Reading {
-	mono := w.Now - n.monoLost
+func (w *World) clockReading(n *node) clock.Reading {
+	mono := w.Now - n.monoStopped
 	if n.paused && n.stopMono {
-		mono = n.pausedAt - n.monoLost
+		mono = n.pausedAt - n.monoStopped
 	}
-	return clock.Reading{Mono: mono, Wall: time.Unix(1_000_000, 0).Add(w.Now + n.wallSet)}
+	return clock.Reading{Mono: mono, Wall: time.Unix(1_000_000, 0).Add(w.Now + n.wallOffset)}
 }
 
-func (w *World) after(delay time.Duration, run func()) {
-	w.order++
-	heap.Push(&w.queue, event{at: w.Now + max(delay, 0), order: w.order, run: run})
+func (w *World) schedule(delay time.Duration, run func()) {
+	w.lastOrder++
+	heap.Push(&w.queue, event{at: w.Now + max(delay, 0), order: w.lastOrder, run: run})
 }
 
-// At runs a function at a time since the start.
+// At schedules a function to run at a time since the start.
 func (w *World) At(at time.Duration, run func()) {
-	w.after(at-w.Now, run)
+	w.schedule(at-w.Now, run)
 }
 
-// Run steps the world until a time since the start and returns the first breach
-// of the bound.
+// Run runs the simulation until a time since the start. It returns the first
+// *OverAdmission, if there is any.
 func (w *World) Run(until time.Duration) error {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		next := heap.Pop(&w.queue).(event)
 		w.Now = next.at
 		next.run()
-		if len(w.errors) > 0 {
-			return w.errors[0]
+		if len(w.violations) > 0 {
+			return w.violations[0]
 		}
 	}
 	w.Now = until
 	return nil
 }
 
-// on runs a step on a process, at once or when its pause is over.
-func (w *World) on(n *node, step func()) {
+// runStep runs a step on a process, immediately or after its pause, and executes the
+// actions that the machine requests. A step on an ended process is dropped.
+func (w *World) runStep(n *node, step func()) {
 	switch {
 	case !n.alive:
 	case n.paused:
 		n.backlog = append(n.backlog, step)
 	default:
 		step()
-		w.perform(n)
+		w.executeActions(n)
 	}
 }
 
@@ -264,60 +275,60 @@
 	if !n.alive {
 		return
 	}
-	w.on(n, func() {
-		n.lastSeen = w.Now
-		if w.Now-n.viewed >= viewEvery || n.viewed == 0 {
-			n.viewed = w.Now
+	w.runStep(n, func() {
+		n.lastTickAt = w.Now
+		if w.Now-n.viewUpdatedAt >= viewInterval || n.viewUpdatedAt == 0 {
+			n.viewUpdatedAt = w.Now
 			n.machine.SetPeers(w.peersOf(n))
 		}
-		n.machine.Tick(w.reading(n))
+		n.machine.Tick(w.clockReading(n))
 	})
-	w.after(w.Tick, func() { w.tick(n) })
+	w.schedule(w.Tick, func() { w.tick(n) })
 }
 
-// peersOf is what a membership would know.
+// peersOf returns the peers as a membership service would report them to a process.
 func (w *World) peersOf(n *node) []quota.Peer {
-	peers := make([]quota.Peer, 0, len(w.current))
-	for _, vm := range w.names {
-		p := w.current[vm]
+	peers := make([]quota.Peer, 0, len(w.currentNodes))
+	for _, vm := range w.vmNames {
+		p := w.currentNodes[vm]
 		if vm == n.vm {
 			continue
 		}
-		heard := p.alive && w.Now-p.lastSeen < heardFor && !w.cut[[2]string{vm, n.vm}]
+		heard := p.alive && w.Now-p.lastTickAt < silenceTimeout && !w.cutLinks[[2]string{vm, n.vm}]
 		peers = append(peers, quota.Peer{Holder: p.machine.Self(), Address: vm, FailureDomain: p.domain, Heard: heard})
 	}
 	return peers
 }
 
-// perform carries out what a machine wants done.
-func (w *World) perform(n *node) {
+// executeActions executes the actions that a machine has requested.
+func (w *World) executeActions(n *node) {
 	for _, action := range n.machine.Actions() {
 		switch a := action.(type) {
 		case quota.Send:
-			w.deliver(n, a)
+			w.sendMessage(n, a)
 		case quota.Verdict:
-			w.judge(n, a)
+			w.recordVerdict(n, a)
 		case quota.Read:
-			w.storeRead(n, a)
+			w.handleRead(n, a)
 		case quota.Write:
-			w.storeWrite(n, a)
+			w.handleWrite(n, a)
 		}
 	}
 }
 
-func (w *World) chance(thousandth int) bool {
-	return thousandth > 0 && w.rng.IntN(1000) < thousandth
+func (w *World) chance(perMille int) bool {
+	return perMille > 0 && w.rng.IntN(1000) < perMille
 }
 
-func (w *World) spread(base, jitter time.Duration) time.Duration {
+func (w *World) withJitter(base, jitter time.Duration) time.Duration {
 	if jitter <= 0 {
 		return base
 	}
 	return base + time.Duration(w.rng.Int64N(int64(jitter)))
 }
 
-func (w *World) deliver(n *node, s quota.Send) {
-	w.Sent++
+func (w *World) sendMessage(n *node, s quota.Send) {
+	w.MessagesSent++
 	if w.OnSend != nil {
 		w.OnSend(n.vm, s.To, s.Message)
 	}
@@ -326,32 +337,32 @@
 		copies = 2
 	}
 	for range copies {
-		if w.chance(w.Network.Loss) || w.cut[[2]string{n.vm, s.To}] {
+		if w.chance(w.Network.Loss) || w.cutLinks[[2]string{n.vm, s.To}] {
 			continue
 		}
-		delay := w.spread(w.Network.Delay, w.Network.Jitter)
+		delay := w.withJitter(w.Network.Delay, w.Network.Jitter)
 		if w.chance(w.Network.Late) {
-			delay = w.spread(delay, w.Network.LateBy)
+			delay = w.withJitter(delay, w.Network.LateBy)
 		}
-		w.after(delay, func() {
-			to, known := w.current[s.To]
+		w.schedule(delay, func() {
+			to, known := w.currentNodes[s.To]
 			if !known {
 				return
 			}
-			w.on(to, func() { to.machine.Receive(w.reading(to), n.vm, s.Message) })
+			w.runStep(to, func() { to.machine.Receive(w.clockReading(to), n.vm, s.Message) })
 		})
 	}
 }
 
-// judge notes a verdict and holds it against the bound.
-func (w *World) judge(n *node, v quota.Verdict) {
+// recordVerdict counts a verdict and checks an admission against the bound.
+func (w *World) recordVerdict(n *node, v quota.Verdict) {
 	r := w.requests[v.Request]
 	delete(w.requests, v.Request)
 	w.Verdicts[v.Cause]++
 	w.Tokens[v.Cause] += r.tokens
 	if v.Admitted {
-		if err := w.ideal[r.team].Charge(w.Now, r.tokens); err != nil {
-			w.errors = append(w.errors, err)
+		if err := w.idealBuckets[r.team].Charge(w.Now, r.tokens); err != nil {
+			w.violations = append(w.violations, err)
 		}
 	}
 	if w.OnVerdict != nil {
