--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -29,295 +29,304 @@
 	keys         = 12
 )
 
-// cell is one key of the fake service.
-type cell struct {
+// storedValue is the value of one key of the simulated key-value service.
+type storedValue struct {
 	revision int64
 	value    []byte
 }
 
-// vm is one VM's part: a log, the attempts, and the call under way.
+// vm is one simulated VM: its log, its attempts, and its call in flight.
 type vm struct {
 	log      *Log
 	attempts *Attempts
-	call     *Call
+	inFlight *Call
 	starts   int
-	// claims are the attempts whose claim has no verdict yet, by operation.
-	claims map[uint64]Record
-	ready  []Record
+	// undecided holds the claims that have no verdict yet, by operation ID.
+	undecided map[uint64]Record
+	// granted holds the claims that may be dispatched, oldest first.
+	granted []Record
 }
 
-// planted are the faults of a world.
-type planted struct {
+// plantedFaults are the faults that a simulation runs with.
+type plantedFaults struct {
 	faults
 	promiseAnyway bool
 	holdForEver   bool
 }
 
-// world is several VMs before one service. Calls are carried out, delayed and
-// lost one by one, as the draws say.
-type world struct {
-	o        require.TestingT
-	faults   planted
+// simulation runs several VMs against one key-value service. The draws decide for each
+// call whether it is executed, delayed or lost.
+type simulation struct {
+	t        require.TestingT
+	faults   plantedFaults
 	now      time.Time
 	revision int64
-	cells    []cell
+	stored   []storedValue
 	vms      []*vm
-	// late are swaps that the service has not carried out yet, although their
-	// sender has given them up.
-	late   []Call
-	nextID uint64
-	// ran holds the time of the last execution of each key and its attempt.
-	ran map[Key]execution
-	// denied are the attempts whose caller was told "not run".
-	denied map[string]bool
+	// delayedSwaps are swaps that the service has not executed yet and whose sender
+	// no longer waits for them.
+	delayedSwaps []Call
+	nextID       uint64
+	// executions holds the last execution of each key.
+	executions map[Key]execution
+	// reportedNotRun holds the attempts whose caller was answered "not run".
+	reportedNotRun map[string]bool
 }
 
+// execution is one execution of an action.
 type execution struct {
 	at      time.Time
 	attempt string
 }
 
-func newWorld(o require.TestingT, f planted) *world {
-	w := &world{
-		o: o, faults: f, now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
-		cells: make([]cell, 3), ran: make(map[Key]execution), denied: make(map[string]bool),
+func newSimulation(t require.TestingT, f plantedFaults) *simulation {
+	sim := &simulation{
+		t: t, faults: f, now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
+		stored: make([]storedValue, 3), executions: make(map[Key]execution), reportedNotRun: make(map[string]bool),
 	}
 	for range vms {
 		v := &vm{}
-		w.vms = append(w.vms, v)
-		w.restart(v)
+		sim.vms = append(sim.vms, v)
+		sim.restart(v)
 	}
-	return w
+	return sim
 }
 
-// restart replaces a VM's process. Its call may still be carried out.
-func (w *world) restart(v *vm) {
-	w.abandonCall(v)
+// restart replaces a VM's process. A swap in flight may still be executed later.
+func (sim *simulation) restart(v *vm) {
+	sim.dropCall(v)
 	v.starts++
-	v.log = NewLog(Options{Lifetime: testLifetime, Slots: len(w.cells), MaxRecords: 2})
-	v.log.faults = w.faults.faults
+	v.log = NewLog(Options{Lifetime: testLifetime, Slots: len(sim.stored), MaxRecords: 2})
+	v.log.faults = sim.faults.faults
 	v.attempts = NewAttempts()
-	v.attempts.promiseAnyway = w.faults.promiseAnyway
-	v.attempts.holdForEver = w.faults.holdForEver
-	v.claims, v.ready = make(map[uint64]Record), nil
+	v.attempts.promiseAnyway = sim.faults.promiseAnyway
+	v.attempts.holdForEver = sim.faults.holdForEver
+	v.undecided, v.granted = make(map[uint64]Record), nil
 }
 
-func (w *world) abandonCall(v *vm) {
-	if v.call != nil && v.call.Swap {
-		w.late = append(w.late, *v.call)
+// dropCall stops waiting for a VM's call. A swap may still be executed later.
+func (sim *simulation) dropCall(v *vm) {
+	if v.inFlight != nil && v.inFlight.Swap {
+		sim.delayedSwaps = append(sim.delayedSwaps, *v.inFlight)
 	}
-	v.call = nil
+	v.inFlight = nil
 }
 
-// request is a caller's try at a VM.
-func (w *world) request(i int, k Key) {
-	v := w.vms[i]
-	w.nextID++
-	r := Record{Key: k, VM: fmt.Sprint(i), Attempt: fmt.Sprintf("%d-%d-%d", i, v.starts, w.nextID), ClaimedAt: w.now}
-	w.submit(v, Op{Kind: Claim, Record: r})
+// request submits a caller's request for a key at a VM.
+func (sim *simulation) request(i int, k Key) {
+	v := sim.vms[i]
+	sim.nextID++
+	r := Record{Key: k, VM: fmt.Sprint(i), Attempt: fmt.Sprintf("%d-%d-%d", i, v.starts, sim.nextID), ClaimedAt: sim.now}
+	sim.submit(v, Op{Kind: Claim, Record: r})
 }
 
-func (w *world) submit(v *vm, op Op) {
-	w.nextID++
-	op.ID, op.Deadline = w.nextID, w.now.Add(5*time.Second)
+func (sim *simulation) submit(v *vm, op Op) {
+	sim.nextID++
+	op.ID, op.Deadline = sim.nextID, sim.now.Add(5*time.Second)
 	if op.Kind != Store {
 		v.attempts.Begin(op.Record.Attempt, op.Record.ClaimedAt)
-		v.claims[op.ID] = op.Record
+		v.undecided[op.ID] = op.Record
 	}
 	v.log.Submit(op)
 }
 
-// step lets a VM decide, and takes its verdicts.
-func (w *world) step(v *vm) {
-	w.take(v, v.log.Expire(w.now))
-	call, verdicts := v.log.Next(w.now)
-	w.take(v, verdicts)
+// step expires a VM's operations, handles its verdicts and starts its next call.
+func (sim *simulation) step(v *vm) {
+	sim.handleVerdicts(v, v.log.Expire(sim.now))
+	call, verdicts := v.log.Next(sim.now)
+	sim.handleVerdicts(v, verdicts)
 	if call != nil {
-		require.Nil(w.o, v.call)
-		v.call = call
+		require.Nil(sim.t, v.inFlight)
+		v.inFlight = call
 	}
 }
 
-func (w *world) take(v *vm, verdicts []Verdict) {
+func (sim *simulation) handleVerdicts(v *vm, verdicts []Verdict) {
 	for _, d := range verdicts {
-		r, isClaim := v.claims[d.ID]
+		r, isClaim := v.undecided[d.ID]
 		if !isClaim {
 			continue
 		}
-		delete(v.claims, d.ID)
+		delete(v.undecided, d.ID)
 		if d.Granted {
 			v.attempts.Grant(r.Attempt)
-			v.ready = append(v.ready, r)
+			v.granted = append(v.granted, r)
 			continue
 		}
-		require.True(w.o, v.attempts.Abandon(r.Attempt))
-		w.denied[r.Attempt] = true
+		require.True(sim.t, v.attempts.Abandon(r.Attempt))
+		sim.reportedNotRun[r.Attempt] = true
 		if d.Found != nil {
-			w.found(v, r, d.Found)
+			sim.handleExisting(v, r, d.Found)
 		}
 	}
 }
 
-// found is a retry that meets a claim. It must have run if it carries an answer.
-func (w *world) found(v *vm, r Record, found *Record) {
+// handleExisting handles a retry whose key is already claimed. A stored answer
+// must be that of the attempt that holds the claim, which has run. An attempt that its
+// claimant has abandoned is taken over.
+func (sim *simulation) handleExisting(v *vm, r Record, found *Record) {
 	if found.Answer != nil {
-		require.Equal(w.o, found.Attempt, string(found.Answer.Body), "another attempt's answer")
+		require.Equal(sim.t, found.Attempt, string(found.Answer.Body), "the stored answer belongs to another attempt")
 		return
 	}
-	claimant := w.vms[int(found.VM[0]-'0')]
+	claimant := sim.vms[int(found.VM[0]-'0')]
 	state, _ := claimant.attempts.Ask(found.Attempt)
 	if state != Abandoned {
 		return
 	}
-	w.nextID++
-	r.Attempt = fmt.Sprint(r.Attempt, "-", w.nextID)
-	w.submit(v, Op{Kind: TakeOver, Record: r, From: found.Attempt})
+	sim.nextID++
+	r.Attempt = fmt.Sprint(r.Attempt, "-", sim.nextID)
+	sim.submit(v, Op{Kind: TakeOver, Record: r, From: found.Attempt})
 }
 
-// dispatch runs a granted attempt, or gives it up as a withdrawn key would.
-func (w *world) dispatch(v *vm, run, answered bool) {
-	if len(v.ready) == 0 {
+// dispatch runs the oldest granted attempt of a VM, or abandons it if run is false, as
+// for a withdrawn key.
+func (sim *simulation) dispatch(v *vm, run, answered bool) {
+	if len(v.granted) == 0 {
 		return
 	}
-	r := v.ready[0]
-	v.ready = v.ready[1:]
+	r := v.granted[0]
+	v.granted = v.granted[1:]
 	if !run {
-		require.True(w.o, v.attempts.Abandon(r.Attempt))
-		w.denied[r.Attempt] = true
+		require.True(sim.t, v.attempts.Abandon(r.Attempt))
+		sim.reportedNotRun[r.Attempt] = true
 		return
 	}
-	if !v.attempts.Dispatch(r.Attempt, w.now) {
+	if !v.attempts.Dispatch(r.Attempt, sim.now) {
 		return
 	}
-	before, ran := w.ran[r.Key]
-	require.False(w.o, ran && w.now.Sub(before.at) < testLifetime-MaxHold, "an action ran twice")
-	require.False(w.o, w.denied[r.Attempt], "an action ran that was said not to run")
-	w.ran[r.Key] = execution{at: w.now, attempt: r.Attempt}
+	last, ran := sim.executions[r.Key]
+	require.False(sim.t, ran && sim.now.Sub(last.at) < testLifetime-MaxHold, "an action ran twice within the lifetime of its claim")
+	require.False(sim.t, sim.reportedNotRun[r.Attempt], "an action ran after its caller was answered that it did not")
+	sim.executions[r.Key] = execution{at: sim.now, attempt: r.Attempt}
 	if answered {
 		r.Answer = &Answer{Status: 200, Body: []byte(r.Attempt)}
 		v.attempts.Answer(r.Attempt, r.Answer)
-		w.submit(v, Op{Kind: Store, Record: r})
+		sim.submit(v, Op{Kind: Store, Record: r})
 	}
 }
 
-// apply carries a swap out at the service.
-func (w *world) apply(c Call) Outcome {
-	at := &w.cells[c.Slot]
+// applySwap executes a swap at the key-value service.
+func (sim *simulation) applySwap(c Call) Outcome {
+	at := &sim.stored[c.Slot]
 	if at.revision != c.Expected {
 		return DidNot
 	}
-	w.revision++
-	*at = cell{revision: w.revision, value: c.Value}
+	sim.revision++
+	*at = storedValue{revision: sim.revision, value: c.Value}
 	return TookEffect
 }
 
-// answer carries a VM's call out and gives it the result.
-func (w *world) answer(v *vm) {
-	if v.call == nil {
+// completeCall executes a VM's call in flight and returns the result to the VM.
+func (sim *simulation) completeCall(v *vm) {
+	if v.inFlight == nil {
 		return
 	}
-	c := *v.call
-	v.call = nil
+	c := *v.inFlight
+	v.inFlight = nil
 	if !c.Swap {
-		at := w.cells[c.Slot]
-		w.take(v, v.log.Read(c.Slot, at.revision, at.value))
+		at := sim.stored[c.Slot]
+		sim.handleVerdicts(v, v.log.Read(c.Slot, at.revision, at.value))
 		return
 	}
-	outcome := w.apply(c)
-	w.take(v, v.log.Swapped(c.Slot, outcome, w.cells[c.Slot].revision))
+	outcome := sim.applySwap(c)
+	sim.handleVerdicts(v, v.log.Swapped(c.Slot, outcome, sim.stored[c.Slot].revision))
 }
 
-// lose lets a call's answer go missing, with the swap carried out now or later.
-func (w *world) lose(v *vm, carriedOut bool) {
-	if v.call == nil {
+// loseResult loses the result of a VM's call. A swap is executed now if executed is true,
+// and may be executed later otherwise.
+func (sim *simulation) loseResult(v *vm, executed bool) {
+	if v.inFlight == nil {
 		return
 	}
-	c := *v.call
+	c := *v.inFlight
 	if !c.Swap {
-		v.call = nil
+		v.inFlight = nil
 		v.log.Failed()
 		return
 	}
-	if carriedOut {
-		w.apply(c)
-		v.call = nil
+	if executed {
+		sim.applySwap(c)
+		v.inFlight = nil
 	}
-	w.abandonCall(v)
-	w.take(v, v.log.Swapped(c.Slot, Unknown, c.Expected+1))
+	sim.dropCall(v)
+	sim.handleVerdicts(v, v.log.Swapped(c.Slot, Unknown, c.Expected+1))
 }
 
-// whole takes a request at a VM as far as its dispatch.
-func (w *world) whole(i int, k Key, run bool) {
-	w.request(i, k)
+// runRequest makes a request at a VM, steps it 12 times and dispatches, or abandons, its
+// oldest granted attempt.
+func (sim *simulation) runRequest(i int, k Key, run bool) {
+	sim.request(i, k)
 	for range 12 {
-		w.step(w.vms[i])
-		w.answer(w.vms[i])
+		sim.step(sim.vms[i])
+		sim.completeCall(sim.vms[i])
 	}
-	w.dispatch(w.vms[i], run, true)
+	sim.dispatch(sim.vms[i], run, true)
 }
 
-func (w *world) actions() map[string]func(*rapid.T) {
-	one := rapid.Custom(func(t *rapid.T) *vm { return w.vms[rapid.IntRange(0, vms-1).Draw(t, "vm")] })
-	key := rapid.Custom(func(t *rapid.T) Key { return Key(fmt.Sprint(rapid.IntRange(1, keys).Draw(t, "key"))) })
+// actions returns the events of the simulation. Their names are part of the draw order.
+func (sim *simulation) actions() map[string]func(*rapid.T) {
+	drawVM := rapid.Custom(func(t *rapid.T) *vm { return sim.vms[rapid.IntRange(0, vms-1).Draw(t, "vm")] })
+	drawKey := rapid.Custom(func(t *rapid.T) Key { return Key(fmt.Sprint(rapid.IntRange(1, keys).Draw(t, "key"))) })
 	work := func(t *rapid.T) {
-		v := one.Draw(t, "vm")
+		v := drawVM.Draw(t, "vm")
 		for range rapid.IntRange(1, 8).Draw(t, "steps") {
-			w.step(v)
-			w.answer(v)
+			sim.step(v)
+			sim.completeCall(v)
 		}
 	}
 	return map[string]func(*rapid.T){
 		"request": func(t *rapid.T) {
-			w.request(rapid.IntRange(0, vms-1).Draw(t, "vm"), key.Draw(t, "key"))
+			sim.request(rapid.IntRange(0, vms-1).Draw(t, "vm"), drawKey.Draw(t, "key"))
 		},
-		"step":    func(t *rapid.T) { w.step(one.Draw(t, "vm")) },
-		"answer":  func(t *rapid.T) { w.answer(one.Draw(t, "vm")) },
+		"step":    func(t *rapid.T) { sim.step(drawVM.Draw(t, "vm")) },
+		"answer":  func(t *rapid.T) { sim.completeCall(drawVM.Draw(t, "vm")) },
 		"work":    work,
 		"work on": work,
 		"whole": func(t *rapid.T) {
-			w.whole(rapid.IntRange(0, vms-1).Draw(t, "vm"), key.Draw(t, "key"), true)
+			sim.runRequest(rapid.IntRange(0, vms-1).Draw(t, "vm"), drawKey.Draw(t, "key"), true)
 		},
 		"hand over": func(t *rapid.T) {
-			k := key.Draw(t, "key")
-			w.whole(0, k, false)
-			w.request(1, k)
-			w.request(2, k)
+			k := drawKey.Draw(t, "key")
+			sim.runRequest(0, k, false)
+			sim.request(1, k)
+			sim.request(2, k)
 			for range rapid.IntRange(1, 12).Draw(t, "steps") {
-				v := one.Draw(t, "vm")
-				w.step(v)
-				w.answer(v)
+				v := drawVM.Draw(t, "vm")
+				sim.step(v)
+				sim.completeCall(v)
 			}
 		},
-		"lose": func(t *rapid.T) { w.lose(one.Draw(t, "vm"), rapid.Bool().Draw(t, "carried out")) },
+		"lose": func(t *rapid.T) { sim.loseResult(drawVM.Draw(t, "vm"), rapid.Bool().Draw(t, "carried out")) },
 		"late": func(t *rapid.T) {
-			if len(w.late) == 0 {
+			if len(sim.delayedSwaps) == 0 {
 				t.Skip()
 			}
-			i := rapid.IntRange(0, len(w.late)-1).Draw(t, "call")
-			w.apply(w.late[i])
-			w.late = slices.Delete(w.late, i, i+1)
+			i := rapid.IntRange(0, len(sim.delayedSwaps)-1).Draw(t, "call")
+			sim.applySwap(sim.delayedSwaps[i])
+			sim.delayedSwaps = slices.Delete(sim.delayedSwaps, i, i+1)
 		},
 		"dispatch": func(t *rapid.T) {
-			w.dispatch(one.Draw(t, "vm"), rapid.IntRange(0, 4).Draw(t, "withdrawn") > 0, rapid.Bool().Draw(t, "answered"))
+			sim.dispatch(drawVM.Draw(t, "vm"), rapid.IntRange(0, 4).Draw(t, "withdrawn") > 0, rapid.Bool().Draw(t, "answered"))
 		},
-		"restart": func(t *rapid.T) { w.restart(one.Draw(t, "vm")) },
+		"restart": func(t *rapid.T) { sim.restart(drawVM.Draw(t, "vm")) },
 		"wait": func(t *rapid.T) {
-			w.now = w.now.Add(rapid.SampledFrom([]time.Duration{time.Second, 6 * time.Second, MaxHold, testLifetime}).Draw(t, "time"))
+			sim.now = sim.now.Add(rapid.SampledFrom([]time.Duration{time.Second, 6 * time.Second, MaxHold, testLifetime}).Draw(t, "time"))
 		},
 	}
 }
 
-// Answers of the key-value service are lost or come late, VMs restart between
-// claim and dispatch and between dispatch and answer, and callers try the same
-// key again at other VMs meanwhile. A deposit would be charged twice, or a
-// clerk would be told that a filing did not run when it did.
+// Results of the key-value service are lost or delayed, VMs restart between claim and
+// dispatch and between dispatch and answer, and callers retry the same key at other VMs
+// meanwhile. An action must not run twice (a deposit would be charged twice), and must
+// not be reported as not run when it ran.
 func TestActionsRunAtMostOnce(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { t.Repeat(newWorld(t, planted{}).actions()) })
+	rapid.Check(t, func(t *rapid.T) { t.Repeat(newSimulation(t, plantedFaults{}).actions()) })
 }
 
-// A VM is paused between claim and dispatch until its claim has expired, and
-// another VM has claimed the key and run it. The first run of rapid found this:
-// the waking VM charged the deposit a second time.
+// A VM is paused between claim and dispatch until its claim has expired, and another VM
+// has claimed the key and run the action. When the paused VM resumes, it must not run
+// the action a second time.
 func TestPausedClaimantDoesNotDispatch(t *testing.T) {
 	a := NewAttempts()
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -327,12 +336,14 @@
 	require.True(t, a.Abandon("x"))
 }
 
+// The simulation must detect each planted fault within 300 seeds, and report no failure
+// without one.
 func TestPlantedFaultsAreFound(t *testing.T) {
-	walk := func(f planted) oracle.Walk {
-		return func(t *rapid.T, o require.TestingT) { t.Repeat(newWorld(o, f).actions()) }
+	walk := func(f plantedFaults) oracle.Walk {
+		return func(t *rapid.T, o require.TestingT) { t.Repeat(newSimulation(o, f).actions()) }
 	}
 	const seeds = 300
-	for name, f := range map[string]planted{
+	for name, f := range map[string]plantedFaults{
 		"trustUnknown":  {faults: faults{trustUnknown: true}},
 		"skipOlder":     {faults: faults{skipOlder: true}},
 		"trustStale":    {faults: faults{trustStale: true}},
@@ -342,8 +353,8 @@
 		"holdForEver":   {holdForEver: true},
 	} {
 		first := oracle.FirstSeed(seeds, walk(f))
-		t.Logf("%s: found with seed %d", name, first)
-		require.NotEqual(t, oracle.NotFound, first, "%s was not found", name)
+		t.Logf("planted fault %s: first detected with seed %d", name, first)
+		require.NotEqual(t, oracle.NotFound, first, "planted fault %s was not detected", name)
 	}
-	require.Equal(t, oracle.NotFound, oracle.FirstSeed(seeds, walk(planted{})))
+	require.Equal(t, oracle.NotFound, oracle.FirstSeed(seeds, walk(plantedFaults{})))
 }
--- a/internal/claim/log.go
+++ b/internal/claim/log.go
@@ -7,70 +7,73 @@
 
 // Options configures a Log.
 type Options struct {
-	// Lifetime is how long a claim is kept. The default is 24h. A key that is
-	// used again later is a new action.
+	// Lifetime is how long a claim is kept. The default is DefaultLifetime, 24h. A
+	// key that is used again after that is a new action.
 	Lifetime time.Duration
-	// Slots and MaxRecords are smaller in tests.
+	// Slots is the number of segments in the ring, and MaxRecords the number of
+	// claims at which a segment is sealed. The defaults are the constants Slots and
+	// MaxRecords; tests set smaller values.
 	Slots      int
 	MaxRecords int
 }
 
-// DefaultLifetime is how long a claim is kept. It includes an hour for clocks
-// that disagree: callers are told 23 hours.
+// DefaultLifetime is how long a claim is kept. It includes an hour for clock skew: the
+// lifetime stated to callers is 23 hours.
 const DefaultLifetime = 24 * time.Hour
 
-// slot is what is known of one key of the ring.
+// slot is the cached state of one key of the ring.
 type slot struct {
 	loaded   bool
 	revision int64
 	// segment is nil if the key does not exist.
 	segment *segment
-	// readAt is the log's counter when the newest read was sent.
+	// readAt is the value of Log.counter when the latest read of the slot was sent.
 	readAt uint64
 }
 
 // pending is an operation that has no verdict yet.
 type pending struct {
 	Op
-	// since is the log's counter when the operation came.
-	since uint64
+	// submittedAt is the value of Log.counter when the operation was submitted.
+	submittedAt uint64
 }
 
-// Log is one shard as one VM knows it. It belongs to one goroutine. At most one
-// call is under way at a time, and all operations that wait are written by the
-// next one.
+// Log is one VM's view of one shard. It is not safe for concurrent use. At most one
+// call is in flight at a time; operations that are submitted meanwhile are batched
+// into the next swap.
 type Log struct {
 	options Options
 	slots   []slot
 	ops     []pending
+	// counter is a logical clock that orders submitted operations and sent reads.
 	counter uint64
-	// readSent is the counter when the read under way was sent.
+	// readSent is the counter when the latest read was sent.
 	readSent uint64
-	// batch holds the operations that the swap under way carries.
+	// batch holds the IDs of the operations that the swap in flight includes.
 	batch []uint64
-	// working is the segment that the swap under way writes.
-	working *segment
-	// calling is true while a call is under way.
-	calling bool
-	faults  faults
+	// proposed is the segment that the swap in flight writes.
+	proposed     *segment
+	callInFlight bool
+	faults       faults
 }
 
-// faults are planted by tests, to show that their oracles find them.
+// faults are planted by tests to check that their oracles detect them.
 type faults struct {
-	// trustUnknown takes a swap without an answer for one that took effect.
+	// trustUnknown treats a swap whose outcome is unknown as one that took effect.
 	trustUnknown bool
-	// skipOlder looks for a key in the newest segment only.
+	// skipOlder looks a key up in the newest segment only.
 	skipOlder bool
-	// trustStale takes a sealed segment for current whatever its generation.
+	// trustStale treats a cached slot as current if it is empty or holds another
+	// generation than expected.
 	trustStale bool
-	// trustOpen takes an earlier segment for whole that was not sealed when it
-	// was read.
+	// trustOpen treats an earlier segment as complete although it was not sealed
+	// when it was read.
 	trustOpen bool
-	// stealAttempts takes over without comparing the attempt.
+	// stealAttempts takes a claim over without comparing its attempt.
 	stealAttempts bool
 }
 
-// NewLog returns the log of a shard of which nothing is known yet.
+// NewLog returns a Log with no slot read yet.
 func NewLog(o Options) *Log {
 	if o.Lifetime == 0 {
 		o.Lifetime = DefaultLifetime
@@ -84,17 +87,17 @@
 	return &Log{options: o, slots: make([]slot, o.Slots)}
 }
 
-// Submit adds an operation. Its verdict comes from Next, Read, Swapped or Expire.
+// Submit adds an operation. Next, Read, Swapped or Expire returns its verdict.
 func (l *Log) Submit(op Op) {
 	l.counter++
-	l.ops = append(l.ops, pending{Op: op, since: l.counter})
+	l.ops = append(l.ops, pending{Op: op, submittedAt: l.counter})
 }
 
 // Waiting returns the number of operations without a verdict.
 func (l *Log) Waiting() int { return len(l.ops) }
 
-// Expire ends the operations whose deadline has passed. A swap that carries one
-// of them may still be under way.
+// Expire ends the operations whose deadline has passed with ErrDeadline. A swap that
+// includes one of them may still be in flight.
 func (l *Log) Expire(now time.Time) []Verdict {
 	var out []Verdict
 	l.ops = slices.DeleteFunc(l.ops, func(p pending) bool {
@@ -107,38 +110,40 @@
 	return out
 }
 
-// Next returns the call to make now, if there is one, and the verdicts that need
-// none. It must not be called again before the call's result was given to Read or
-// Swapped.
+// Next returns the call to make now, or nil, and the verdicts that need no call. While
+// a call is in flight it returns neither. The result of the call must be passed to
+// Read, Failed or Swapped.
 func (l *Log) Next(now time.Time) (*Call, []Verdict) {
-	if l.calling {
+	if l.callInFlight {
 		return nil, nil
 	}
 	verdicts, call := l.plan(now)
-	l.calling = call != nil
+	l.callInFlight = call != nil
 	return call, verdicts
 }
 
 // Load returns the next read that is needed before an operation can be decided, or
-// nil if none is. Like Next, it begins a call.
+// nil if every slot is up to date or a call is in flight. Like Next, it puts the
+// returned call in flight.
 func (l *Log) Load() *Call {
-	if l.calling {
+	if l.callInFlight {
 		return nil
 	}
-	call := l.load()
-	l.calling = call != nil
+	call := l.nextRead()
+	l.callInFlight = call != nil
 	return call
 }
 
-// Failed says that a read brought nothing. The next call tries again.
+// Failed records that a read failed. A later call to Next or Load returns the read
+// again if it is still needed.
 func (l *Log) Failed() {
-	l.calling = false
+	l.callInFlight = false
 }
 
-// Read takes what stands in a slot. A nil value means that the key does not
-// exist. A value that cannot be read ends every operation.
+// Read records the result of a read of slot i. A nil value means that the key does not
+// exist. A value that cannot be decoded ends every operation with ErrCorrupt.
 func (l *Log) Read(i int, revision int64, value []byte) []Verdict {
-	l.calling = false
+	l.callInFlight = false
 	s := slot{loaded: true, revision: revision, readAt: l.readSent}
 	if value != nil {
 		decoded, err := decode(value)
@@ -151,6 +156,7 @@
 	return nil
 }
 
+// abort ends every operation with err.
 func (l *Log) abort(err error) []Verdict {
 	out := make([]Verdict, 0, len(l.ops))
 	for _, p := range l.ops {
@@ -160,13 +166,13 @@
 	return out
 }
 
-// Swapped takes the outcome of a swap, with the new revision if it took effect.
-// Otherwise the slot is read before anything else is decided: what it holds then
-// says for each operation whether it took effect.
+// Swapped records the outcome of a swap of slot i, with the new revision if it took
+// effect. Otherwise the slot is read again before anything else is decided: its
+// content shows for each operation whether it took effect.
 func (l *Log) Swapped(i int, outcome Outcome, revision int64) []Verdict {
-	l.calling = false
-	batch, working := l.batch, l.working
-	l.batch, l.working = nil, nil
+	l.callInFlight = false
+	batch, working := l.batch, l.proposed
+	l.batch, l.proposed = nil, nil
 	if outcome == Unknown && l.faults.trustUnknown {
 		outcome = TookEffect
 	}
@@ -177,11 +183,11 @@
 	l.slots[i] = slot{loaded: true, revision: revision, segment: working, readAt: l.slots[i].readAt}
 	var out []Verdict
 	l.ops = slices.DeleteFunc(l.ops, func(p pending) bool {
-		carried := slices.Contains(batch, p.ID)
-		if carried {
+		included := slices.Contains(batch, p.ID)
+		if included {
 			out = append(out, Verdict{ID: p.ID, Granted: true})
 		}
-		return carried
+		return included
 	})
 	return out
 }
--- a/internal/claim/op.go
+++ b/internal/claim/op.go
@@ -2,65 +2,65 @@
 
 import "time"
 
-// Kind says what an operation does.
+// Kind is the type of an operation.
 type Kind int
 
 // The kinds of operation.
 const (
 	// Claim adds a claim on a key that has none.
 	Claim Kind = iota
-	// TakeOver replaces an attempt that its claimant has said it will never
-	// dispatch.
+	// TakeOver replaces an attempt that its claimant has reported as abandoned: it
+	// will never be dispatched.
 	TakeOver
-	// Store adds the answer to a claim.
+	// Store adds the action's answer to its claim.
 	Store
 )
 
 // Op is one operation on a shard.
 type Op struct {
-	// ID is unique in the log.
-	ID uint64
-	// Kind says what is done.
+	// ID is unique within the Log.
+	ID   uint64
 	Kind Kind
-	// Record is the claim as it is to stand. For Store it carries the answer.
+	// Record is the claim to write. For Store it includes the answer.
 	Record Record
-	// From is the attempt that is replaced, with TakeOver.
+	// From is the attempt that TakeOver replaces.
 	From string
-	// Deadline is when the operation is given up.
+	// Deadline is the time after which the operation fails with ErrDeadline.
 	Deadline time.Time
 }
 
-// Verdict is an operation's end.
+// Verdict is the result of an operation.
 type Verdict struct {
-	// ID is the operation's.
+	// ID identifies the operation.
 	ID uint64
-	// Granted means that the change is known to have taken effect. After Claim or
-	// TakeOver the attempt may be dispatched, once.
+	// Granted means that the change is confirmed in the key-value service. After
+	// Claim or TakeOver the attempt may be dispatched, once.
 	Granted bool
-	// Found is the claim that stands in the way, if there is one.
+	// Found is the conflicting claim on the key, or nil.
 	Found *Record
-	// Err is ErrFull, ErrDeadline or ErrCorrupt, if neither of the others is set.
-	// The change may then still take effect: the attempt must never be
-	// dispatched.
+	// Err is ErrFull, ErrDeadline or ErrCorrupt, and is set only if Granted is false
+	// and Found is nil. The change may still take effect after an error, so the
+	// attempt must never be dispatched.
 	Err error
 }
 
-// Call is what the owner of a log has to do next: read a slot or swap it.
+// Call is a request that the owner of a Log must make next: a read or a
+// compare-and-swap of a slot.
 type Call struct {
-	// Slot is the slot's number.
+	// Slot is the slot's index in the ring.
 	Slot int
-	// Swap is false for a read.
+	// Swap is true for a compare-and-swap and false for a read.
 	Swap bool
-	// Expected is the revision that the slot must have, with Swap.
+	// Expected is the revision that the slot must have for the swap to take effect.
 	Expected int64
-	// Value is the new value, with Swap.
+	// Value is the value that the swap writes.
 	Value []byte
 }
 
-// Outcome says what is known of a swap.
+// Outcome is the known result of a swap.
 type Outcome int
 
-// The outcomes of a swap. After Unknown it may still take effect later.
+// The outcomes of a swap. A swap whose outcome is Unknown may still take effect later.
 const (
 	Unknown Outcome = iota
 	TookEffect
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -11,37 +11,39 @@
 )
 
 var (
-	// ErrCorrupt means that a segment's value cannot be read.
+	// ErrCorrupt means that a segment's value cannot be decoded.
 	ErrCorrupt = errors.New("claim: corrupt segment")
-	// ErrFull means that every segment of the shard holds claims that are still
-	// alive.
+	// ErrFull means that no segment of the shard can be reused, because each holds
+	// claims that have not expired.
 	ErrFull = errors.New("claim: shard full")
-	// ErrDeadline means that the deadline passed before the claim was settled.
+	// ErrDeadline means that the deadline passed before the claim's outcome was known.
 	ErrDeadline = errors.New("claim: not settled in time")
 )
 
-// Shards is the number of shards. It is a constant of the stored format: with
-// another number, a key's claim would be looked for where it is not.
+// Shards is the number of shards. It is part of the stored format: with another
+// number, a key's claim would be looked up in a different shard from the one that holds it.
 const Shards = 16
 
 const (
 	// Slots is the number of segments in a shard's ring.
 	Slots = 32
-	// MaxRecords is the number of claims after which a segment is sealed.
+	// MaxRecords is the number of claims at which a segment is sealed.
 	MaxRecords = 256
-	// MaxAnswerBytes bounds the body of an answer that is kept with its claim.
+	// MaxAnswerBytes is the size limit, in bytes, of an answer's body that is
+	// stored with its claim.
 	MaxAnswerBytes = 1 << 10
-	// maxSegmentBytes bounds a segment's value, well under what the key-value
-	// service holds.
+	// maxSegmentBytes is the encoded size in bytes above which answer bodies are
+	// omitted. It is well below the key-value service's limit on a value.
 	maxSegmentBytes = 512 << 10
-	// sealBytes is the size after which a segment takes no new claims.
+	// sealBytes is the encoded size in bytes at which a segment is sealed against
+	// new claims.
 	sealBytes = 128 << 10
 )
 
 // Key identifies an action: a digest of the team and its idempotency key.
 type Key string
 
-// KeyOf returns the key of a team's idempotency key.
+// KeyOf returns the Key for a team's idempotency key.
 func KeyOf(team, idempotencyKey string) Key {
 	h := sha256.New()
 	var length [8]byte
@@ -58,8 +60,8 @@
 	return int(binary.BigEndian.Uint16(sum[:2])) % Shards
 }
 
-// DigestBody returns the digest of what an action asks for: its method, path and
-// query, and its body.
+// DigestBody returns the digest of an action's request: its method, its path and
+// query (target), and its body.
 func DigestBody(method, target string, body []byte) string {
 	h := sha256.New()
 	for _, s := range []string{method, target} {
@@ -72,41 +74,42 @@
 
 // Record is one claim.
 type Record struct {
-	// Key is the action's.
+	// Key identifies the action.
 	Key Key `json:"k"`
-	// Body is the digest of what was asked for.
+	// Body is the digest of the action's request, as returned by DigestBody.
 	Body string `json:"b"`
-	// VM is the name of the VM that claimed.
+	// VM is the name of the VM that made the claim.
 	VM string `json:"v"`
-	// Attempt is unique for ever. Only the holder of the attempt may dispatch.
+	// Attempt is an ID that is never reused. Only the VM that made the attempt may
+	// dispatch the action.
 	Attempt string `json:"a"`
-	// ClaimedAt is when the claim was made, by the claimant's clock.
+	// ClaimedAt is when the claim was made, by the clock of the VM that made it.
 	ClaimedAt time.Time `json:"t"`
-	// Answer is the action's answer, once it is known.
+	// Answer is the action's answer, or nil until it is stored.
 	Answer *Answer `json:"r,omitempty"`
 }
 
-// Answer is the stored answer of an action.
+// Answer is the answer of an action, as stored with its claim.
 type Answer struct {
 	// Status is the HTTP status code.
 	Status int `json:"s"`
 	// ContentType is the type of Body.
 	ContentType string `json:"c,omitempty"`
-	// Body is the answer's body.
-	Body []byte `json:"b,omitempty"`
-	// Omitted means that the body was too large to keep.
+	Body        []byte `json:"b,omitempty"`
+	// Omitted means that the body was dropped, because it was too large or to make
+	// room in the segment.
 	Omitted bool `json:"o,omitempty"`
 }
 
-// segment is one key's value.
+// segment is the value of one key of the key-value service.
 type segment struct {
-	// Generation counts a shard's segments from 1. It stands in the ring at
-	// Generation modulo Slots.
+	// Generation numbers a shard's segments from 1. The segment's slot in the ring
+	// is Generation modulo Slots.
 	Generation int64 `json:"g"`
-	// Sealed means that no claim is added any more. The next generation may
-	// exist only if this is set.
+	// Sealed means that no more claims are added. The next generation may exist
+	// only if the segment is sealed.
 	Sealed bool `json:"z,omitempty"`
-	// Records are in the order of their claims.
+	// Records are in the order in which their claims were added.
 	Records []Record `json:"r"`
 }
 
@@ -116,7 +119,7 @@
 		return nil, errors.Wrap(ErrCorrupt, err.Error())
 	}
 	if s.Generation < 1 {
-		return nil, errors.Wrap(ErrCorrupt, "no generation")
+		return nil, errors.Wrap(ErrCorrupt, "segment generation is missing or less than 1")
 	}
 	return s, nil
 }
@@ -124,13 +127,14 @@
 func (s *segment) encode() []byte {
 	value, err := json.Marshal(s)
 	if err != nil {
-		// The types above always marshal.
+		// A segment's types always marshal.
 		panic(err)
 	}
 	return value
 }
 
-// clone copies a segment for a change that may not take effect.
+// clone copies a segment, so that a change whose swap may not take effect leaves the
+// original as it is.
 func (s *segment) clone() *segment {
 	c := *s
 	c.Records = append(make([]Record, 0, len(s.Records)+1), s.Records...)
@@ -146,7 +150,7 @@
 	return nil
 }
 
-// expired reports whether every claim has outlived the lifetime.
+// expired reports whether every claim of the segment is older than lifetime.
 func (s *segment) expired(now time.Time, lifetime time.Duration) bool {
 	for i := range s.Records {
 		if now.Sub(s.Records[i].ClaimedAt) <= lifetime {
--- a/internal/claim/record_test.go
+++ b/internal/claim/record_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzDecode feeds what stands in the key-value service. A value that is accepted
-// must survive being written back.
+// FuzzDecode decodes arbitrary values of the key-value service. A value that is accepted
+// must decode again after it was encoded, with the same number of records.
 func FuzzDecode(f *testing.F) {
 	s := &segment{Generation: 3, Records: []Record{{Key: "k", Body: "b", VM: "v", Attempt: "a", Answer: &Answer{Status: 200, Body: []byte("x")}}}}
 	f.Add(s.encode())
@@ -26,8 +26,8 @@
 	})
 }
 
-// The value in the key-value service is damaged. The actions of the shard must be
-// refused as not run, and nothing may be written over it.
+// A segment's value in the key-value service is corrupt. The shard's actions must be
+// refused as not run, and the value must not be overwritten.
 func TestDamagedSegmentStopsItsShard(t *testing.T) {
 	l := NewLog(Options{Slots: 2})
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -41,7 +41,7 @@
 	require.Nil(t, call)
 }
 
-// Many claims that come together cost one write, and many answers another.
+// Concurrent claims on a shard must be batched into one write; their answers cost another.
 func TestClaimsAreWrittenTogether(t *testing.T) {
 	l := NewLog(Options{Slots: 2})
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -67,6 +67,8 @@
 	require.Equal(t, 100, granted)
 }
 
+// BenchmarkCommit measures a claim on a shard that holds 200 answered claims. Its swap does
+// not take effect, so that the shard stays the same size.
 func BenchmarkCommit(b *testing.B) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	l := NewLog(Options{Slots: 2})
