--- a/internal/order/account.go
+++ b/internal/order/account.go
@@ -10,28 +10,29 @@
 )
 
 var (
-	// ErrNoRoom means that an item does not fit beside everything that the
-	// engine could hold.
-	ErrNoRoom = errors.New("order: no room in the allowed set")
-	// ErrBusy means that an order for the item has no definite answer yet.
+	// ErrNoRoom means that an item does not fit into the engine's memory together
+	// with everything that the engine could hold.
+	ErrNoRoom = errors.New("order: item does not fit into the engine's memory beside the allowed set")
+	// ErrBusy means that an order for the item has no definite answer yet, or that
+	// the item's entry is not in the state that the new order needs.
 	ErrBusy = errors.New("order: an order for the item is unsettled")
-	// ErrCorrupt means that a record cannot be read.
+	// ErrCorrupt means that a stored record cannot be decoded.
 	ErrCorrupt = errors.New("order: corrupt record")
 )
 
-// Account is the memory account of one engine, as kept in the key-value
-// service. Values are replaced, never changed in place.
+// Account is the memory account of one engine, as stored in the key-value service. An
+// Account is immutable: its methods return changed copies.
 type Account struct {
 	// Engine is the engine's name.
 	Engine string `json:"engine"`
-	// Incarnation is the engine's incarnation that the entries are about.
+	// Incarnation is the incarnation of the engine that the entries describe.
 	Incarnation string `json:"incarnation"`
-	// Fence is the fencing number of the leader that wrote the record last.
+	// Fence is the fencing number of the leader that last wrote the record.
 	Fence int64 `json:"fence"`
-	// Nonce is different in every write, so that a writer that lost the answer
-	// knows its own write again.
+	// Nonce is unique to each write, so that a writer that did not receive the
+	// outcome can recognise its own write.
 	Nonce string `json:"nonce"`
-	// Entries is the allowed set.
+	// Entries is the allowed set: every item that the engine could hold.
 	Entries []Entry `json:"entries"`
 }
 
@@ -39,7 +40,7 @@
 type Entry struct {
 	// Item is what the engine could hold.
 	Item placement.Item `json:"item"`
-	// Memory is in bytes.
+	// Memory is the item's memory in bytes.
 	Memory int64 `json:"memory"`
 	// Load is the ID of a load order without a definite answer, or empty.
 	Load string `json:"load,omitempty"`
@@ -47,12 +48,12 @@
 	Unload string `json:"unload,omitempty"`
 }
 
-// Settled says whether every order for the item has a definite answer.
+// Settled reports whether every order for the item has a definite answer.
 func (e Entry) Settled() bool {
 	return e.Load == "" && e.Unload == ""
 }
 
-// Used is the memory of everything that the engine could hold, in bytes.
+// Used returns the memory of everything that the engine could hold, in bytes.
 func (a Account) Used() int64 {
 	var used int64
 	for _, e := range a.Entries {
@@ -66,8 +67,9 @@
 	return slices.IndexFunc(a.Entries, func(e Entry) bool { return e.Item == item })
 }
 
-// WithLoad adds an item with an unsettled load order. The whole must fit into
-// capacity bytes; ErrNoRoom or ErrBusy says why it may not be added.
+// WithLoad adds an item with an unsettled load order. It returns ErrBusy if the item
+// already has an entry, and ErrNoRoom if all entries together would exceed capacity
+// bytes.
 func (a Account) WithLoad(item placement.Item, memory, capacity int64, orderID string) (Account, error) {
 	if a.Find(item) >= 0 {
 		return a, errors.WithStack(ErrBusy)
@@ -79,9 +81,9 @@
 	return a, nil
 }
 
-// WithUnload records an unload order for an item. While a load order is
-// unsettled it returns ErrBusy: the load could arrive after the unload was
-// confirmed, and fill memory that is counted free.
+// WithUnload records an unload order for an item. It returns ErrBusy if the item has no
+// entry or an order for it is unsettled: a load order could arrive after the unload was
+// confirmed, and occupy memory that is counted as free.
 func (a Account) WithUnload(item placement.Item, orderID string) (Account, error) {
 	at := a.Find(item)
 	if at < 0 || !a.Entries[at].Settled() {
@@ -92,10 +94,10 @@
 	return a, nil
 }
 
-// Answer is how an engine answered an order.
+// Answer is an engine's answer to an order.
 type Answer int
 
-// Answers. Only Running is not definite.
+// The answers to an order. All but Running are definite.
 const (
 	Running Answer = iota
 	Done
@@ -103,8 +105,8 @@
 	Refused
 )
 
-// Settle applies a definite answer from the account's incarnation. A load that
-// failed holds nothing; an unload that failed leaves the item where it is.
+// Settle applies a definite answer from the account's incarnation. A failed load
+// occupies no memory; after a failed unload the item is still held.
 func (a Account) Settle(orderID string, answer Answer) Account {
 	at := slices.IndexFunc(a.Entries, func(e Entry) bool { return e.Load == orderID || e.Unload == orderID })
 	if at < 0 || answer == Running {
@@ -123,10 +125,10 @@
 	return a
 }
 
-// Reset starts the account of a new incarnation with what the engine brought
-// along by itself. Entries whose orders have no definite answer stay: such an
-// order is repeated to the new incarnation under the same ID, so that a copy of
-// it that comes late finds it already answered.
+// Reset starts the account of a new incarnation with the items that the engine holds
+// after its start. Entries whose orders have no definite answer are kept: such an order
+// is repeated to the new incarnation under the same ID, so that a delayed duplicate of
+// it finds the ID already answered.
 func (a Account) Reset(incarnation string, resident []Entry) Account {
 	entries := slices.Clone(resident)
 	for _, e := range a.Entries {
@@ -145,14 +147,14 @@
 	return a
 }
 
-// Encode returns the stored form.
+// Encode returns the stored form, as JSON.
 func (a Account) Encode() []byte {
 	// A struct of strings and integers always marshals.
 	data, _ := json.Marshal(a)
 	return data
 }
 
-// DecodeAccount reads the stored form. Errors wrap ErrCorrupt.
+// DecodeAccount decodes the stored form. Errors wrap ErrCorrupt.
 func DecodeAccount(data []byte) (Account, error) {
 	var a Account
 	if err := json.Unmarshal(data, &a); err != nil {
@@ -161,23 +163,23 @@
 	return a, nil
 }
 
-// Index lists every engine that has an account. The service has no reads by
-// prefix, so this is how a new leader finds accounts of engines that its own
-// document does not name.
+// Index lists every engine that has an account. The key-value service has no reads by
+// prefix, so a new leader needs the index to find the accounts of engines that its own
+// document does not list.
 type Index struct {
 	Fence   int64    `json:"fence"`
 	Nonce   string   `json:"nonce"`
 	Engines []string `json:"engines"`
 }
 
-// Encode returns the stored form.
+// Encode returns the stored form, as JSON.
 func (i Index) Encode() []byte {
 	// A struct of strings and integers always marshals.
 	data, _ := json.Marshal(i)
 	return data
 }
 
-// DecodeIndex reads the stored form. Errors wrap ErrCorrupt.
+// DecodeIndex decodes the stored form. Errors wrap ErrCorrupt.
 func DecodeIndex(data []byte) (Index, error) {
 	var i Index
 	if err := json.Unmarshal(data, &i); err != nil {
--- a/internal/order/bench_test.go
+++ b/internal/order/bench_test.go
@@ -8,8 +8,9 @@
 	"github.com/chestnutarch/chestnutarch/internal/placement"
 )
 
-// steadyBook is a leader's book in control of engines that hold what is wanted.
-func steadyBook(engines int) (*Book, time.Time) {
+// newIdleBook returns the reconciler of a leader in control of engines that hold exactly
+// the wanted copies, and the time.
+func newIdleBook(engines int) (*Book, time.Time) {
 	now := time.Unix(1_000_000, 0)
 	b := NewBook(Options{Prefix: "/p/", Fence: 1})
 	goal := Goal{Versions: make(map[placement.Name]string), Memory: make(map[placement.Item]int64)}
@@ -53,16 +54,16 @@
 	return r
 }
 
-// BenchmarkNext is one decision when nothing has to be done.
+// BenchmarkNext measures one call of Next when nothing has to be done.
 func BenchmarkNext(b *testing.B) {
 	for _, engines := range []int{20, 275, 1100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			book, now := steadyBook(engines)
+			book, now := newIdleBook(engines)
 			if !book.InControl() {
-				b.Fatal("not in control")
+				b.Fatal("the new leader did not take control of all accounts")
 			}
-			for _, l := range book.lines {
-				l.polling = true
+			for _, state := range book.engines {
+				state.polling = true
 			}
 			for b.Loop() {
 				book.Next(now)
@@ -71,11 +72,11 @@
 	}
 }
 
-// BenchmarkView is what a plan costs besides the plan itself.
+// BenchmarkView measures the cost of a plan's input, without the plan itself.
 func BenchmarkView(b *testing.B) {
 	for _, engines := range []int{20, 275, 1100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			book, now := steadyBook(engines)
+			book, now := newIdleBook(engines)
 			for b.Loop() {
 				book.View(now)
 			}
--- a/internal/order/book.go
+++ b/internal/order/book.go
@@ -8,38 +8,41 @@
 	"github.com/chestnutarch/chestnutarch/internal/placement"
 )
 
-// Book is one leader's view of all accounts, and the decisions that follow from
-// it. It lives as long as the leadership. It is not safe for concurrent use.
+// Book is one leader's reconciler: it holds the leader's view of all accounts, and
+// decides the actions that move the engines towards the Goal. A new one is made for each
+// leadership. It is not safe for concurrent use.
 type Book struct {
 	options Options
 	goal    Goal
-	wanted  map[wantedKey]struct{}
-	// planned counts, for each item, the wanted copies by failure domain.
+	wanted  map[engineItem]struct{}
+	// planned holds, for each item, the number of wanted copies by failure domain.
 	planned map[placement.Item]map[string]int
-	// reduced lists the names whose second failure domain is given up.
+	// reduced is the set of names that give up their second failure domain.
 	reduced map[placement.Name]struct{}
 	index   register
-	// listed is the index as last known, decoded.
-	listed Index
-	lines  map[string]*line
-	byKey  map[string]*line
-	names  []string
-	// sequence makes order IDs and nonces.
+	// knownIndex is the last known index, decoded.
+	knownIndex  Index
+	engines     map[string]*engineState
+	byKey       map[string]*engineState
+	engineNames []string
+	// sequence is a counter for order IDs and nonces.
 	sequence int64
 	deposed  bool
-	// inControl is when the last account was taken over.
-	inControl time.Time
-	ready     bool
-	// quietSince is since when every engine was there and every copy served.
+	// inControlSince is when the last account was taken over, or zero.
+	inControlSince time.Time
+	// ownsAll is true if every account carries this leader's fencing number.
+	ownsAll bool
+	// quietSince is the time since when every engine has been present and every copy
+	// has been serving.
 	quietSince time.Time
-	// acked holds the time of the first answer to each load order.
-	acked map[string]time.Time
-	// removed is when a name was first found missing from the document.
-	removed map[placement.Name]time.Time
-	faults  faults
+	// firstAnswered holds the time of the first answer to each load order.
+	firstAnswered map[string]time.Time
+	// removedSince holds when a name was first found missing from the document.
+	removedSince map[placement.Name]time.Time
+	faults       faults
 }
 
-// faults are planted in tests, to see that the oracle finds them.
+// faults are planted by tests to check that the oracle detects them.
 type faults struct {
 	sendBeforeWrite    bool
 	freeUnsettled      bool
@@ -52,94 +55,98 @@
 	blindToPending     bool
 }
 
-type wantedKey struct {
+type engineItem struct {
 	engine string
 	item   placement.Item
 }
 
-// line is one engine's part of the book.
-type line struct {
+// engineState is the state of one engine and its account.
+type engineState struct {
 	register
 	name string
-	// spec is nil for an engine that the document does not name.
+	// spec is nil for an engine that is not in the document.
 	spec    *EngineSpec
 	account Account
-	// listed says that the index names the engine under this leader's mark.
+	// listed means that the index lists the engine and carries this leader's
+	// fencing number.
 	listed bool
-	owned  bool
-	// proposed is the account that the pending write holds.
+	// owned means that the account carries this leader's fencing number.
+	owned bool
+	// proposed is the account that the pending write contains.
 	proposed Account
-	// draft is the account that the present step wants to write.
+	// draft is the account that the current step is to write, if changed.
 	draft   Account
 	changed bool
-	// answers are definite answers that are not written yet.
+	// answers holds definite answers, by order ID, that are not written yet.
 	answers map[string]Answer
-	sends   map[string]*sending
+	sends   map[string]*sendState
 	report  *Report
 	// reportRevision is the account's revision when the report's poll began.
 	reportRevision int64
 	reportBegan    time.Time
 	polling        bool
 	nextPoll       time.Time
-	lastHeard      time.Time
-	// missing notes settled items that are not reported.
-	missing map[placement.Item]missing
-	// holds is until when no order goes out for an item whose last one failed.
-	holds map[placement.Item]time.Time
+	lastReportAt   time.Time
+	// missingItems holds the settled items that are missing from reports.
+	missingItems map[placement.Item]missingReport
+	// retryAfter holds the time until which no order is recorded for an item whose
+	// last order failed.
+	retryAfter map[placement.Item]time.Time
 }
 
-// missing is since when, and in how many reports, an item was not reported.
-type missing struct {
+// missingReport holds since when, and from how many reports, an item has been missing.
+type missingReport struct {
 	since   time.Time
 	last    time.Time
 	reports int
 }
 
-// sending is the state of one order on its way.
-type sending struct {
+// sendState is the sending state of one order.
+type sendState struct {
 	inFlight bool
-	next     time.Time
+	nextSend time.Time
 }
 
-// NewBook returns the book of a new leader.
+// NewBook returns the reconciler of a new leader.
 func NewBook(o Options) *Book {
 	b := &Book{
-		options: o.withDefaults(),
-		lines:   make(map[string]*line),
-		byKey:   make(map[string]*line),
-		acked:   make(map[string]time.Time),
-		removed: make(map[placement.Name]time.Time),
+		options:       o.withDefaults(),
+		engines:       make(map[string]*engineState),
+		byKey:         make(map[string]*engineState),
+		firstAnswered: make(map[string]time.Time),
+		removedSince:  make(map[placement.Name]time.Time),
 	}
 	b.index.key = b.options.Prefix + "index"
 	return b
 }
 
-// SetBudget changes the weight store's limits.
+// SetBudget sets the weight store's limits on loads started per second and on loads that
+// run at once.
 func (b *Book) SetBudget(loadsPerSecond float64, concurrent int) {
 	b.options.LoadsPerSecond = loadsPerSecond
 	b.options.ConcurrentLoads = concurrent
 }
 
-// SetGoal replaces what the book works towards.
+// SetGoal replaces the goal.
 func (b *Book) SetGoal(g Goal) {
 	b.goal = g
-	b.wanted = make(map[wantedKey]struct{}, len(g.Assignments))
+	b.wanted = make(map[engineItem]struct{}, len(g.Assignments))
 	b.planned = make(map[placement.Item]map[string]int)
 	b.reduced = make(map[placement.Name]struct{}, len(g.Reduced))
 	for _, name := range g.Reduced {
 		b.reduced[name] = struct{}{}
 	}
-	for _, l := range b.lines {
-		l.spec = nil
+	for _, state := range b.engines {
+		state.spec = nil
 	}
 	domains := make(map[string]string, len(g.Engines))
 	for i := range g.Engines {
 		spec := &g.Engines[i]
-		b.line(spec.Name).spec = spec
+		b.engineState(spec.Name).spec = spec
 		domains[spec.Name] = spec.FailureDomain
 	}
 	for _, a := range g.Assignments {
-		b.wanted[wantedKey{a.Engine, a.Item}] = struct{}{}
+		b.wanted[engineItem{a.Engine, a.Item}] = struct{}{}
 		if b.planned[a.Item] == nil {
 			b.planned[a.Item] = make(map[string]int)
 		}
@@ -147,169 +154,173 @@
 	}
 }
 
-func (b *Book) line(name string) *line {
-	l, known := b.lines[name]
+// engineState returns the state of an engine, which it creates if necessary.
+func (b *Book) engineState(name string) *engineState {
+	state, known := b.engines[name]
 	if known {
-		return l
+		return state
 	}
-	l = &line{name: name, answers: make(map[string]Answer), sends: make(map[string]*sending)}
-	l.missing = make(map[placement.Item]missing)
-	l.holds = make(map[placement.Item]time.Time)
-	l.key = b.options.Prefix + "engines/" + name
-	b.lines[name] = l
-	b.byKey[l.key] = l
-	at, _ := slices.BinarySearch(b.names, name)
-	b.names = slices.Insert(b.names, at, name)
-	return l
+	state = &engineState{name: name, answers: make(map[string]Answer), sends: make(map[string]*sendState)}
+	state.missingItems = make(map[placement.Item]missingReport)
+	state.retryAfter = make(map[placement.Item]time.Time)
+	state.key = b.options.Prefix + "engines/" + name
+	b.engines[name] = state
+	b.byKey[state.key] = state
+	at, _ := slices.BinarySearch(b.engineNames, name)
+	b.engineNames = slices.Insert(b.engineNames, at, name)
+	return state
 }
 
-// Deposed says that a later leader's mark was found. The book does nothing more.
+// Deposed reports whether a record was found that carries a later leader's fencing number
+// or cannot be decoded. Next then returns no more actions.
 func (b *Book) Deposed() bool { return b.deposed }
 
-// InControl says whether every account carries this leader's fencing number.
-func (b *Book) InControl() bool { return b.ready && !b.deposed }
+// InControl reports whether every account carries this leader's fencing number.
+func (b *Book) InControl() bool { return b.ownsAll && !b.deposed }
 
-// ReadDone takes in the result of a Read. With ok false nothing was learned.
+// ReadDone records the result of a Read. With ok false the read failed.
 func (b *Book) ReadDone(key string, s Stored, ok bool) {
 	if r := b.register(key); r != nil {
 		r.readDone(s, ok)
-		b.refresh(key)
+		b.decodeValue(key)
 	}
 }
 
-// Written takes in the result of a Write. Current is the value that stood in
-// the way, where known.
+// Written records the result of a Write. Current is the conflicting value, if known.
 func (b *Book) Written(key string, outcome WriteOutcome, revision int64, current *Stored) {
 	if r := b.register(key); r != nil {
 		if b.faults.forgetUnknownWrite && outcome == OutcomeUnknown {
 			outcome, revision = TookEffect, r.revision+1
 		}
 		r.written(outcome, revision, current)
-		b.refresh(key)
+		b.decodeValue(key)
 	}
 }
 
+// register returns the register of a key, or nil.
 func (b *Book) register(key string) *register {
 	if key == b.index.key {
 		return &b.index
 	}
-	if l, known := b.byKey[key]; known {
-		return &l.register
+	if state, known := b.byKey[key]; known {
+		return &state.register
 	}
 	return nil
 }
 
-// refresh decodes a value that is known for certain.
-func (b *Book) refresh(key string) {
+// decodeValue decodes the value of a key once it is known and no write is pending.
+func (b *Book) decodeValue(key string) {
 	if key == b.index.key {
-		b.refreshIndex()
+		b.decodeIndexValue()
 		return
 	}
-	if l := b.byKey[key]; l.idle() {
-		b.refreshLine(l)
+	if state := b.byKey[key]; state.idle() {
+		b.decodeAccountValue(state)
 	}
 }
 
-func (b *Book) refreshIndex() {
+func (b *Book) decodeIndexValue() {
 	if !b.index.idle() || len(b.index.value) == 0 {
 		return
 	}
 	index, err := DecodeIndex(b.index.value)
 	if err != nil || index.Fence > b.options.Fence {
-		// Nothing is decided on an index that cannot be read.
+		// No decisions are made from an index that cannot be decoded.
 		b.deposed = true
 		return
 	}
-	b.listed = index
+	b.knownIndex = index
 	for _, name := range index.Engines {
-		b.line(name).listed = index.Fence == b.options.Fence
+		b.engineState(name).listed = index.Fence == b.options.Fence
 	}
 }
 
-func (b *Book) refreshLine(l *line) {
-	if len(l.value) == 0 {
+func (b *Book) decodeAccountValue(state *engineState) {
+	if len(state.value) == 0 {
 		return
 	}
-	account, err := DecodeAccount(l.value)
+	account, err := DecodeAccount(state.value)
 	if err != nil || account.Fence > b.options.Fence {
 		b.deposed = true
 		return
 	}
-	l.account = account
-	l.owned = account.Fence == b.options.Fence
-	l.forgetSettled()
+	state.account = account
+	state.owned = account.Fence == b.options.Fence
+	state.dropSettledOrders()
 }
 
-// forgetSettled drops what is kept about orders that the account no longer has.
-func (l *line) forgetSettled() {
+// dropSettledOrders removes the answers and the sending state of orders that are no
+// longer in the account.
+func (state *engineState) dropSettledOrders() {
 	unsettled := make(map[string]struct{})
-	for _, e := range l.account.Entries {
+	for _, e := range state.account.Entries {
 		unsettled[e.Load] = struct{}{}
 		unsettled[e.Unload] = struct{}{}
 	}
-	for id := range l.answers {
+	for id := range state.answers {
 		if _, ok := unsettled[id]; !ok {
-			delete(l.answers, id)
+			delete(state.answers, id)
 		}
 	}
-	for id := range l.sends {
+	for id := range state.sends {
 		if _, ok := unsettled[id]; !ok {
-			delete(l.sends, id)
+			delete(state.sends, id)
 		}
 	}
 }
 
-// Reported takes in the result of a Poll. With ok false there was no answer.
+// Reported records the result of a Poll. With ok false there was no answer.
 func (b *Book) Reported(p Poll, r Report, ok bool, now time.Time) {
-	l, known := b.lines[p.Engine]
+	state, known := b.engines[p.Engine]
 	if !known {
 		return
 	}
-	l.polling = false
-	l.nextPoll = now.Add(b.options.PollEvery)
-	if !ok || p.Began.Before(l.reportBegan) {
+	state.polling = false
+	state.nextPoll = now.Add(b.options.PollEvery)
+	if !ok || p.Began.Before(state.reportBegan) {
 		return
 	}
-	l.report = &r
-	l.reportBegan = p.Began
-	l.reportRevision = p.Revision
-	l.lastHeard = now
+	state.report = &r
+	state.reportBegan = p.Began
+	state.reportRevision = p.Revision
+	state.lastReportAt = now
 }
 
-// Answered takes in an engine's answer to a Send.
+// Answered records an engine's answer to a Send.
 func (b *Book) Answered(s Send, answer Answer, now time.Time) {
-	l, known := b.lines[s.Engine]
+	state, known := b.engines[s.Engine]
 	if !known {
 		return
 	}
-	b.sent(l, s.Order.ID, now)
+	b.scheduleRepeat(state, s.Order.ID, now)
 	if s.Order.Kind == Load {
-		if _, before := b.acked[s.Order.ID]; !before {
-			b.acked[s.Order.ID] = now
+		if _, before := b.firstAnswered[s.Order.ID]; !before {
+			b.firstAnswered[s.Order.ID] = now
 		}
 	}
-	if answer != Running && s.Incarnation == l.account.Incarnation {
-		l.answers[s.Order.ID] = answer
+	if answer != Running && s.Incarnation == state.account.Incarnation {
+		state.answers[s.Order.ID] = answer
 	}
 }
 
-// Unanswered notes that a Send brought no answer, or was not sent because the
-// engine is in another incarnation.
+// Unanswered records that a Send was not answered, or not sent because the engine is in
+// another incarnation.
 func (b *Book) Unanswered(s Send, now time.Time) {
-	if l, known := b.lines[s.Engine]; known {
-		b.sent(l, s.Order.ID, now)
+	if state, known := b.engines[s.Engine]; known {
+		b.scheduleRepeat(state, s.Order.ID, now)
 	}
 }
 
-func (b *Book) sent(l *line, id string, now time.Time) {
-	if s, known := l.sends[id]; known {
+// scheduleRepeat ends a send and sets the time from which the order may be repeated.
+func (b *Book) scheduleRepeat(state *engineState, id string, now time.Time) {
+	if s, known := state.sends[id]; known {
 		s.inFlight = false
-		s.next = now.Add(b.options.RepeatAfter)
+		s.nextSend = now.Add(b.options.RepeatAfter)
 	}
 }
 
-// unique returns a string that no other writer ever uses.
-func (b *Book) unique() string {
+// uniqueID returns an ID that no other call and no other leader returns.
+func (b *Book) uniqueID() string {
 	b.sequence++
 	return fmt.Sprintf("%d-%d", b.options.Fence, b.sequence)
 }
--- a/internal/order/budget.go
+++ b/internal/order/budget.go
@@ -6,66 +6,68 @@
 	"time"
 )
 
-// budget is what the weight store still allows in one step.
+// budget is the number of loads that the weight store's limits still allow in one step.
 type budget struct {
 	concurrent int
 	starts     int
 }
 
-// allows says whether one more load may start.
+// allows reports whether one more load may start.
 func (u *budget) allows() bool { return u.concurrent > 0 && u.starts > 0 }
 
-func (u *budget) take() {
+// consume counts one more load.
+func (u *budget) consume() {
 	u.concurrent--
 	u.starts--
 }
 
-// defaultConcurrentLoads and defaultLoadsPerSecond hold where the document sets
-// no limit.
+// defaultConcurrentLoads and defaultLoadsPerSecond apply where the document sets no
+// limit.
 const (
 	defaultConcurrentLoads = 1
 	defaultLoadsPerSecond  = 1
 )
 
-// budget counts what is recorded in the accounts, whoever recorded it. A load
-// order without any answer may start at any time, so it counts as a start until
-// a whole window after its first answer: then no window of the store's clock
-// can hold more starts than the limit, however long messages take.
+// budget counts the loads that are recorded in the accounts, by whichever leader. A
+// load order that was never answered may start at any time, so it counts as a start
+// until a whole window after its first answer. Thus no window of the weight store's
+// clock contains more starts than the limit, however long messages are delayed.
 func (b *Book) budget(now time.Time) budget {
 	window, limit := b.startWindow()
-	if now.Sub(b.inControl) < window {
-		// The previous leader's last starts are not known.
+	if now.Sub(b.inControlSince) < window {
+		// The last starts of the previous leader are unknown until a whole window
+		// has passed.
 		return budget{}
 	}
 	out := budget{concurrent: b.options.ConcurrentLoads, starts: limit}
 	if out.concurrent <= 0 {
 		out.concurrent = defaultConcurrentLoads
 	}
-	for id, at := range b.acked {
+	for id, at := range b.firstAnswered {
 		if now.Sub(at) <= window {
 			out.starts--
 			continue
 		}
-		if !b.outstanding(id) {
-			delete(b.acked, id)
+		if !b.isOutstanding(id) {
+			delete(b.firstAnswered, id)
 		}
 	}
-	for _, name := range b.names {
-		l := b.lines[name]
-		if b.silent(l, now) {
+	for _, name := range b.engineNames {
+		state := b.engines[name]
+		if b.loadsTimedOut(state, now) {
 			continue
 		}
-		for _, e := range l.draft.Entries {
-			b.charge(&out, e)
+		for _, e := range state.draft.Entries {
+			b.chargeLoad(&out, e)
 		}
-		if l.pending != nil && !b.faults.countOwnLoadsOnly {
-			b.chargePending(&out, l)
+		if state.pending != nil && !b.faults.countOwnLoadsOnly {
+			b.chargePending(&out, state)
 		}
 	}
 	return out
 }
 
-// startWindow returns the time in which limit loads may start.
+// startWindow returns a time window and the number of loads that may start within it.
 func (b *Book) startWindow() (time.Duration, int) {
 	rate := b.options.LoadsPerSecond
 	if rate <= 0 {
@@ -77,45 +79,49 @@
 	return time.Second, int(rate)
 }
 
-func (b *Book) charge(out *budget, e Entry) {
+// chargeLoad deducts the entry's load order from the budget, if it has one.
+func (b *Book) chargeLoad(out *budget, e Entry) {
 	if e.Load == "" {
 		return
 	}
-	if b.faults.countOwnLoadsOnly && !b.own(e.Load) {
+	if b.faults.countOwnLoadsOnly && !b.isOwnOrder(e.Load) {
 		return
 	}
 	out.concurrent--
-	if _, answered := b.acked[e.Load]; !answered {
+	if _, answered := b.firstAnswered[e.Load]; !answered {
 		out.starts--
 	}
 }
 
-// chargePending charges the loads of a write whose outcome is not known.
-func (b *Book) chargePending(out *budget, l *line) {
-	for _, e := range l.proposed.Entries {
-		if at := l.draft.Find(e.Item); at < 0 || l.draft.Entries[at].Load != e.Load {
-			b.charge(out, e)
+// chargePending deducts the load orders of a write whose outcome is not known.
+func (b *Book) chargePending(out *budget, state *engineState) {
+	for _, e := range state.proposed.Entries {
+		if at := state.draft.Find(e.Item); at < 0 || state.draft.Entries[at].Load != e.Load {
+			b.chargeLoad(out, e)
 		}
 	}
 }
 
-// silent says whether an engine has not answered for so long that no load can
-// still run there. Counting its loads for ever would let a lost failure domain
-// stop all loads, those that replace its copies included.
-func (b *Book) silent(l *line, now time.Time) bool {
-	if l.spec != nil && b.fresh(l, now) {
+// loadsTimedOut reports whether an engine has sent no report for longer than
+// LoadTimeout, so that no load can still run there. If its loads were counted for ever,
+// the loss of a failure domain would block all loads, including those that replace its
+// copies.
+func (b *Book) loadsTimedOut(state *engineState, now time.Time) bool {
+	if state.spec != nil && b.hasFreshReport(state, now) {
 		return false
 	}
-	last := l.lastHeard
-	if last.Before(b.inControl) {
-		last = b.inControl
+	last := state.lastReportAt
+	if last.Before(b.inControlSince) {
+		last = b.inControlSince
 	}
 	return now.Sub(last) > b.options.LoadTimeout
 }
 
-func (b *Book) outstanding(id string) bool {
-	for _, l := range b.lines {
-		for _, e := range l.account.Entries {
+// isOutstanding reports whether an account has a load order with this ID and without a
+// definite answer.
+func (b *Book) isOutstanding(id string) bool {
+	for _, state := range b.engines {
+		for _, e := range state.account.Entries {
 			if e.Load == id {
 				return true
 			}
@@ -124,7 +130,7 @@
 	return false
 }
 
-// own says whether this leader made the order.
-func (b *Book) own(id string) bool {
+// isOwnOrder reports whether this leader issued the order.
+func (b *Book) isOwnOrder(id string) bool {
 	return strings.HasPrefix(id, strconv.FormatInt(b.options.Fence, 10)+"-")
 }
--- a/internal/order/decide.go
+++ b/internal/order/decide.go
@@ -7,8 +7,8 @@
 	"github.com/chestnutarch/chestnutarch/internal/placement"
 )
 
-// decideLoads records as many wanted loads as memory and the weight store let,
-// the most urgent first.
+// decideLoads records as many wanted loads as the engines' memory and the weight
+// store's limits allow, most urgent first.
 func (b *Book) decideLoads(now time.Time) {
 	budget := b.budget(now)
 	for _, a := range b.goal.Assignments {
@@ -18,109 +18,109 @@
 		if a.Reason == placement.ReasonStays {
 			continue
 		}
-		l, known := b.lines[a.Engine]
-		if !known || !b.mayChange(l, now) || l.draft.Find(a.Item) >= 0 || now.Before(l.holds[a.Item]) {
+		state, known := b.engines[a.Engine]
+		if !known || !b.mayChange(state, now) || state.draft.Find(a.Item) >= 0 || now.Before(state.retryAfter[a.Item]) {
 			continue
 		}
-		if !a.Item.IsBase() && !b.baseServes(l, a.Item.Model, now) {
+		if !a.Item.IsBase() && !b.baseServes(state, a.Item.Model, now) {
 			continue
 		}
-		next, err := l.draft.WithLoad(a.Item, a.Memory, l.spec.Capacity, b.unique())
+		next, err := state.draft.WithLoad(a.Item, a.Memory, state.spec.Capacity, b.uniqueID())
 		if err != nil {
 			continue
 		}
-		l.draft = next
-		l.changed = true
-		budget.take()
+		state.draft = next
+		state.changed = true
+		budget.consume()
 	}
 }
 
-// mayChange says whether a line's account may get a new order now.
-func (b *Book) mayChange(l *line, now time.Time) bool {
-	return l.owned && l.idle() && b.current(l, now) && !l.report.Draining &&
-		l.draft.Incarnation == l.report.Incarnation
+// mayChange reports whether a new order may be recorded in an engine's account now.
+func (b *Book) mayChange(state *engineState, now time.Time) bool {
+	return state.owned && state.idle() && b.hasCurrentReport(state, now) && !state.report.Draining &&
+		state.draft.Incarnation == state.report.Incarnation
 }
 
-// decideUnloads records the unloading of copies that are not wanted, as far as
-// every name keeps the ready copies that it needs.
+// decideUnloads records unload orders for unwanted copies, as far as every name keeps the
+// ready copies that it needs, and for copies that are missing from reports.
 func (b *Book) decideUnloads(now time.Time) {
-	for _, name := range b.names {
-		l := b.lines[name]
-		if !b.mayChange(l, now) || !l.spec.Planned {
+	for _, name := range b.engineNames {
+		state := b.engines[name]
+		if !b.mayChange(state, now) || !state.spec.Planned {
 			continue
 		}
-		for _, e := range l.draft.Entries {
-			if now.Before(l.holds[e.Item]) {
+		for _, e := range state.draft.Entries {
+			if now.Before(state.retryAfter[e.Item]) {
 				continue
 			}
-			if b.lost(l, e, now) {
-				b.recordUnload(l, e.Item)
+			if b.missingFromReports(state, e, now) {
+				b.recordUnload(state, e.Item)
 				continue
 			}
-			if _, wanted := b.wanted[wantedKey{l.name, e.Item}]; wanted {
+			if _, wanted := b.wanted[engineItem{state.name, e.Item}]; wanted {
 				continue
 			}
 			if !e.Settled() && !(b.faults.freeUnsettled && e.Unload == "") {
 				continue
 			}
-			if b.mayUnload(l, e.Item, now) {
-				b.recordUnload(l, e.Item)
+			if b.mayUnload(state, e.Item, now) {
+				b.recordUnload(state, e.Item)
 			}
 		}
 	}
 }
 
-func (b *Book) recordUnload(l *line, item placement.Item) {
+func (b *Book) recordUnload(state *engineState, item placement.Item) {
 	if b.faults.freeUnsettled {
-		if at := l.draft.Find(item); l.draft.Entries[at].Load != "" {
-			l.draft = l.draft.Settle(l.draft.Entries[at].Load, Done)
+		if at := state.draft.Find(item); state.draft.Entries[at].Load != "" {
+			state.draft = state.draft.Settle(state.draft.Entries[at].Load, Done)
 		}
 	}
-	next, err := l.draft.WithUnload(item, b.unique())
+	next, err := state.draft.WithUnload(item, b.uniqueID())
 	if err != nil {
 		return
 	}
-	l.draft = next
-	l.changed = true
+	state.draft = next
+	state.changed = true
 }
 
-// missingReports is in how many reports a copy must be missing: the first of
-// them may be older than the copy.
-const missingReports = 4
+// minMissingReports is the number of reports from which a copy must be missing. More
+// than one is needed because the first of them may be older than the copy.
+const minMissingReports = 4
 
-// lost says whether the engine no longer reports an item that it was told to
-// load. The item cannot just be struck out, since a report may be older than
-// the load; an unload that is answered makes certain.
-func (b *Book) lost(l *line, e Entry, now time.Time) bool {
-	reported := slices.ContainsFunc(l.report.Resident, func(r ReportItem) bool { return r.Item == e.Item })
+// missingFromReports reports whether an engine has stopped reporting an item that it was
+// ordered to load. The entry cannot simply be deleted, since a report may be older than
+// the load; only an answered unload makes certain that the item is gone.
+func (b *Book) missingFromReports(state *engineState, e Entry, now time.Time) bool {
+	reported := slices.ContainsFunc(state.report.Resident, func(r ReportItem) bool { return r.Item == e.Item })
 	if reported || !e.Settled() {
-		delete(l.missing, e.Item)
+		delete(state.missingItems, e.Item)
 		return false
 	}
-	m := l.missing[e.Item]
+	m := state.missingItems[e.Item]
 	if m.reports == 0 {
 		m.since = now
 	}
-	if l.reportBegan.After(m.last) {
-		m.last = l.reportBegan
+	if state.reportBegan.After(m.last) {
+		m.last = state.reportBegan
 		m.reports++
 	}
-	l.missing[e.Item] = m
-	return m.reports >= missingReports && now.Sub(m.since) >= b.options.MissingAfter
+	state.missingItems[e.Item] = m
+	return m.reports >= minMissingReports && now.Sub(m.since) >= b.options.MissingAfter
 }
 
-// mayUnload says whether a copy can go. Copies that are on their way out in
-// this very step are already left out of the count, since the drafts say so.
-func (b *Book) mayUnload(l *line, item placement.Item, now time.Time) bool {
+// mayUnload reports whether a copy can be unloaded. Copies for which this step has
+// already recorded an unload are not counted as ready, since the drafts contain the order.
+func (b *Book) mayUnload(state *engineState, item placement.Item, now time.Time) bool {
 	if b.faults.unloadBeforeReady {
 		return true
 	}
-	if item.IsBase() && b.carriesAdapters(l, item, now) {
+	if item.IsBase() && b.hasDependentAdapters(state, item, now) {
 		return false
 	}
 	version, named := b.goal.Versions[item.Name()]
 	if !named {
-		since, noted := b.removed[item.Name()]
+		since, noted := b.removedSince[item.Name()]
 		return noted && now.Sub(since) >= b.options.RemovalGrace
 	}
 	current := item
@@ -128,16 +128,16 @@
 	if len(b.planned[current]) == 0 {
 		return false
 	}
-	return b.readyDomains(anyVersion(item), wantedKey{l.name, item}, now) >= b.needed(item, current, now)
+	return b.readyDomains(anyVersion(item), engineItem{state.name, item}, now) >= b.requiredDomains(item, current, now)
 }
 
-// needed is the number of failure domains in which a name must stay ready when
-// a copy goes: as many as now, at most two. It may become one where the plan
-// gives the second up for a name that has none, or has no place for a second
-// and nothing has moved for long. Before that the plan is no guide: when a
-// base model is replaced, its adapters are at first wanted beside the new
-// version in one domain only.
-func (b *Book) needed(item, current placement.Item, now time.Time) int {
+// requiredDomains returns the number of failure domains in which a name must stay ready
+// when a copy is unloaded: as many as hold it now, at most two. It may be one if the plan
+// gives up the second domain in favour of a name that has none, or if the plan has no
+// place for a second copy and Quiet is true. Until then the plan is not reliable: when a
+// base model is replaced, its adapters are at first wanted beside the new version in one
+// domain only.
+func (b *Book) requiredDomains(item, current placement.Item, now time.Time) int {
 	if _, reduced := b.reduced[item.Name()]; reduced {
 		return 1
 	}
@@ -147,98 +147,103 @@
 	return max(1, min(2, b.heldDomains(item.Name(), now)))
 }
 
-// heldDomains counts the failure domains that hold a name, ready or not yet, on
-// engines that may be there. A report lags: a copy that it does not show ready
-// may be the second one, and what it does show may be gone.
+// heldDomains counts the failure domains that hold a name, ready or not, on engines that
+// are present or uncertain. Readiness is not required because reports lag: a copy that is
+// not reported ready may be the second one, and a copy that is reported may be gone.
 func (b *Book) heldDomains(name placement.Name, now time.Time) int {
 	domains := make(map[string]struct{})
-	for _, engine := range b.names {
-		l := b.lines[engine]
-		if l.spec == nil || !(b.present(l, now) || b.uncertain(l, now)) {
+	for _, engine := range b.engineNames {
+		state := b.engines[engine]
+		if state.spec == nil || !(b.present(state, now) || b.uncertain(state, now)) {
 			continue
 		}
-		for _, e := range l.draft.Entries {
+		for _, e := range state.draft.Entries {
 			if e.Item.Name() == name && e.Unload == "" {
-				domains[l.spec.FailureDomain] = struct{}{}
+				domains[state.spec.FailureDomain] = struct{}{}
 			}
 		}
 	}
 	return len(domains)
 }
 
-// anyVersion stands for every version of an item's name.
+// anyVersion returns an item without a version, which readyDomains matches with every
+// version of its name.
 func anyVersion(item placement.Item) placement.Item {
 	item.Version = ""
 	return item
 }
 
-// carriesAdapters says whether adapters on the engine still need this base.
-func (b *Book) carriesAdapters(l *line, base placement.Item, now time.Time) bool {
-	carries := false
-	for _, e := range l.draft.Entries {
+// hasDependentAdapters reports whether adapters on the engine need this base model: no
+// other version of it serves there.
+func (b *Book) hasDependentAdapters(state *engineState, base placement.Item, now time.Time) bool {
+	dependent := false
+	for _, e := range state.draft.Entries {
 		if e.Item.Model != base.Model || e.Item == base {
 			continue
 		}
-		if e.Item.IsBase() && b.serves(l, e.Item, now) {
+		if e.Item.IsBase() && b.serves(state, e.Item, now) {
 			return false
 		}
-		carries = carries || !e.Item.IsBase()
+		dependent = dependent || !e.Item.IsBase()
 	}
-	return carries
+	return dependent
 }
 
-// readyDomains counts the failure domains with a ready copy of an item, or of
-// any version of its name if the item's is empty, leaving out one copy.
-func (b *Book) readyDomains(item placement.Item, except wantedKey, now time.Time) int {
+// readyDomains counts the failure domains with a ready copy of an item, or of any
+// version of its name if the item's version is empty. The copy given by except is not
+// counted.
+func (b *Book) readyDomains(item placement.Item, except engineItem, now time.Time) int {
 	domains := make(map[string]struct{})
-	for _, name := range b.names {
-		l := b.lines[name]
-		if !l.owned || !b.current(l, now) {
+	for _, name := range b.engineNames {
+		state := b.engines[name]
+		if !state.owned || !b.hasCurrentReport(state, now) {
 			continue
 		}
-		for _, e := range l.draft.Entries {
+		for _, e := range state.draft.Entries {
 			same := e.Item == item || (item.Version == "" && e.Item.Name() == item.Name())
-			if same && (wantedKey{name, e.Item}) != except && b.serves(l, e.Item, now) {
-				domains[l.spec.FailureDomain] = struct{}{}
+			if same && (engineItem{name, e.Item}) != except && b.serves(state, e.Item, now) {
+				domains[state.spec.FailureDomain] = struct{}{}
 			}
 		}
 	}
 	return len(domains)
 }
 
-// serves says whether an item's copy on an engine can be counted on: it is
-// reported ready, no order can take it away, and its base model serves too.
-func (b *Book) serves(l *line, item placement.Item, now time.Time) bool {
-	if !b.current(l, now) || l.report.Draining || !b.steady(l, item) {
+// serves reports whether an item's copy on an engine is reliably ready: it is reported
+// ready, no order can unload it, and its base model serves too.
+func (b *Book) serves(state *engineState, item placement.Item, now time.Time) bool {
+	if !b.hasCurrentReport(state, now) || state.report.Draining || !b.settledAndReady(state, item) {
 		return false
 	}
-	return item.IsBase() || b.baseServes(l, item.Model, now)
+	return item.IsBase() || b.baseServes(state, item.Model, now)
 }
 
-// baseServes says whether any version of a base model serves on the engine.
-func (b *Book) baseServes(l *line, model string, now time.Time) bool {
-	for _, e := range l.draft.Entries {
-		if e.Item.Model == model && e.Item.IsBase() && b.current(l, now) && b.steady(l, e.Item) {
+// baseServes reports whether any version of a base model serves on the engine.
+func (b *Book) baseServes(state *engineState, model string, now time.Time) bool {
+	for _, e := range state.draft.Entries {
+		if e.Item.Model == model && e.Item.IsBase() && b.hasCurrentReport(state, now) && b.settledAndReady(state, e.Item) {
 			return true
 		}
 	}
 	return false
 }
 
-func (b *Book) steady(l *line, item placement.Item) bool {
-	at := l.draft.Find(item)
-	if at < 0 || !l.draft.Entries[at].Settled() {
+// settledAndReady reports whether an item is settled in the draft and in the pending
+// write, if there is one, and is reported ready.
+func (b *Book) settledAndReady(state *engineState, item placement.Item) bool {
+	at := state.draft.Find(item)
+	if at < 0 || !state.draft.Entries[at].Settled() {
 		return false
 	}
-	if l.pending != nil && !b.faults.blindToPending {
-		// An unload that is being written may be on its way before the answer
-		// to the write is here.
-		at = l.proposed.Find(item)
-		if at < 0 || !l.proposed.Entries[at].Settled() {
+	if state.pending != nil && !b.faults.blindToPending {
+		// An unload order in the pending write may be in flight to the engine
+		// before the result of the write arrives here.
+		at = state.proposed.Find(item)
+		if at < 0 || !state.proposed.Entries[at].Settled() {
 			return false
 		}
 	}
-	for _, r := range l.report.Resident {
+	for _, r := range state.report.Resident {
 		if r.Item == item {
 			return r.Ready
 		}
--- a/internal/order/fuzz_test.go
+++ b/internal/order/fuzz_test.go
@@ -16,8 +16,8 @@
 	"github.com/chestnutarch/chestnutarch/internal/placement"
 )
 
-// TestMain fixes the seed and the number of runs unless the command line gives
-// others: a long run is go test -rapid.checks=N -rapid.seed=S.
+// TestMain sets the seed and the number of runs unless the command line sets them: for
+// a long run, use go test -rapid.checks=N -rapid.seed=S.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := make(map[string]bool)
@@ -30,133 +30,138 @@
 	os.Exit(m.Run())
 }
 
-// A world becomes whole, then calm and faults take turns.
+// After a simulation has converged, rounds of fuzzSteps random events alternate with
+// phases without faults.
 const (
 	fuzzRounds = 6
 	fuzzSteps  = 250
 )
 
-// fuzz runs one world. After every round without further faults it must become
-// whole again.
-func fuzz(t *rapid.T, planted faults) *world {
-	w := newWorld(t, planted)
-	w.elect()
-	w.settle()
+// runSimulation runs one simulation. After every round it must converge once there are no
+// further faults.
+func runSimulation(t *rapid.T, planted faults) *simulation {
+	sim := newSimulation(t, planted)
+	sim.elect()
+	sim.converge()
 	for range fuzzRounds {
 		for range fuzzSteps {
-			w.event(rapid.IntRange(0, 99).Draw(t, "event"))
-			w.check()
+			sim.randomEvent(rapid.IntRange(0, 99).Draw(t, "event"))
+			sim.check()
 		}
-		w.settle()
+		sim.converge()
 	}
-	return w
+	return sim
 }
 
-// event does one thing, most often an ordinary one.
-func (w *world) event(kind int) {
+// randomEvent executes the event for kind, a number from 0 to 99. Ordinary events are the
+// most frequent.
+func (sim *simulation) randomEvent(kind int) {
 	switch {
 	case kind < 30:
-		w.each(w.step)
-		w.advance(time.Duration(rapid.IntRange(1, 200).Draw(w.t, "ms")) * time.Millisecond)
+		sim.eachLeader(sim.step)
+		sim.advance(time.Duration(rapid.IntRange(1, 200).Draw(sim.t, "ms")) * time.Millisecond)
 	case kind < 60:
-		w.pick(false, w.arrive)
+		sim.pickMessage(false, sim.handleRequest)
 	case kind < 86:
-		w.pick(true, w.deliver)
+		sim.pickMessage(true, sim.deliverAnswer)
 	case kind < 89:
-		w.pick(rapid.Bool().Draw(w.t, "late"), w.giveUp)
+		sim.pickMessage(rapid.Bool().Draw(sim.t, "late"), sim.timeOut)
 	case kind < 91:
-		w.repeat()
+		sim.duplicateRequest()
 	case kind < 92:
-		w.advance(time.Duration(rapid.IntRange(1, 8).Draw(w.t, "s")) * time.Second)
+		sim.advance(time.Duration(rapid.IntRange(1, 8).Draw(sim.t, "s")) * time.Second)
 	case kind < 93:
-		w.outage = !w.outage && rapid.IntRange(0, 2).Draw(w.t, "outage") == 0
+		sim.outage = !sim.outage && rapid.IntRange(0, 2).Draw(sim.t, "outage") == 0
 	case kind < 94:
-		w.changeLeader()
+		sim.changeLeader()
 	case kind < 96:
-		w.loseDomain()
+		sim.loseDomain()
 	case kind < 97:
-		w.restartEngine()
+		sim.restartEngine()
 	case kind < 98:
-		w.changeVersion()
+		sim.changeVersion()
 	default:
-		w.flush()
+		sim.deliverAll()
 	}
 }
 
-func (w *world) each(f func(*leader)) {
-	for _, l := range w.leaders {
+func (sim *simulation) eachLeader(f func(*leader)) {
+	for _, l := range sim.leaders {
 		f(l)
 	}
 }
 
-// pick applies f to one of the flights that have arrived or not.
-func (w *world) pick(arrived bool, f func(*flight)) {
-	var candidates []*flight
-	for _, g := range w.flying {
-		if g.arrived == arrived && !g.from.paused {
-			candidates = append(candidates, g)
+// pickMessage applies f to a drawn message that has, or has not, arrived at its
+// destination. Answers to a paused leader are not drawn.
+func (sim *simulation) pickMessage(arrived bool, f func(*message)) {
+	var candidates []*message
+	for _, m := range sim.inFlight {
+		if m.arrived == arrived && !m.sender.paused {
+			candidates = append(candidates, m)
 		}
-		if g.arrived == arrived && g.from.paused && !arrived {
-			candidates = append(candidates, g)
+		if m.arrived == arrived && m.sender.paused && !arrived {
+			candidates = append(candidates, m)
 		}
 	}
 	if len(candidates) > 0 {
-		f(candidates[rapid.IntRange(0, len(candidates)-1).Draw(w.t, "flight")])
+		f(candidates[rapid.IntRange(0, len(candidates)-1).Draw(sim.t, "flight")])
 	}
 }
 
-// repeat makes a request arrive a second time, now or later.
-func (w *world) repeat() {
-	w.pick(false, func(f *flight) {
-		again := *f
-		again.givenUp = true
-		w.flying = append(w.flying, &again)
+// duplicateRequest makes a request arrive a second time, now or later.
+func (sim *simulation) duplicateRequest() {
+	sim.pickMessage(false, func(m *message) {
+		again := *m
+		again.timedOut = true
+		sim.inFlight = append(sim.inFlight, &again)
 	})
 }
 
-// flush lets everything that flies arrive and come back in order.
-func (w *world) flush() {
-	for _, f := range append([]*flight(nil), w.flying...) {
-		if !f.arrived {
-			w.arrive(f)
-			w.check()
+// deliverAll delivers all requests and answers in flight, in order. Answers to paused
+// leaders stay in flight.
+func (sim *simulation) deliverAll() {
+	for _, m := range append([]*message(nil), sim.inFlight...) {
+		if !m.arrived {
+			sim.handleRequest(m)
+			sim.check()
 		}
-		if !f.from.paused {
-			w.deliver(f)
+		if !m.sender.paused {
+			sim.deliverAnswer(m)
 		}
 	}
 }
 
-// changeLeader pauses a leader, wakes one, or elects another beside them.
-func (w *world) changeLeader() {
-	last := w.leaders[len(w.leaders)-1]
-	switch rapid.IntRange(0, 2).Draw(w.t, "leader") {
+// changeLeader pauses the last leader and elects another, resumes all leaders, or elects
+// another beside them.
+func (sim *simulation) changeLeader() {
+	last := sim.leaders[len(sim.leaders)-1]
+	switch rapid.IntRange(0, 2).Draw(sim.t, "leader") {
 	case 0:
 		last.paused = true
-		w.elect()
+		sim.elect()
 	case 1:
-		w.each(func(l *leader) { l.paused = false })
+		sim.eachLeader(func(l *leader) { l.paused = false })
 	default:
-		w.elect()
+		sim.elect()
 	}
 }
 
-// loseDomain takes a failure domain away, by a broken link or by the death of
-// its engines, if every name serves in two; or brings all back.
-func (w *world) loseDomain() {
-	lost := false
-	for _, e := range w.engines {
-		lost = lost || e.down
+// loseDomain makes a failure domain unreachable, by a broken link or by a crash of its
+// engines, if every name is redundant. If an engine is down, it restores all instead.
+func (sim *simulation) loseDomain() {
+	anyDown := false
+	for _, e := range sim.engines {
+		anyDown = anyDown || e.down
 		e.down = false
 	}
-	if lost || !w.spread() {
+	if anyDown || !sim.redundant() {
 		return
 	}
-	w.lost++
-	domain := rapid.SampledFrom(w.doc.FailureDomains).Draw(w.t, "domain")
-	dead := rapid.Bool().Draw(w.t, "dead")
-	w.note("lose %s, dead %v", domain, dead)
-	for _, e := range w.engines {
+	sim.domainsLost++
+	domain := rapid.SampledFrom(sim.doc.FailureDomains).Draw(sim.t, "domain")
+	dead := rapid.Bool().Draw(sim.t, "dead")
+	sim.logf("failure domain %s lost, engines crashed: %v", domain, dead)
+	for _, e := range sim.engines {
 		if e.domain == domain {
 			e.down = true
 			if dead {
@@ -166,67 +171,68 @@
 	}
 }
 
-// restartEngine restarts an engine if every name can bear its loss.
-func (w *world) restartEngine() {
-	for _, e := range w.engines {
+// restartEngine restarts an engine if no engine is down and every name is redundant.
+func (sim *simulation) restartEngine() {
+	for _, e := range sim.engines {
 		if e.down {
 			return
 		}
 	}
-	if w.spread() {
-		w.restarts++
-		w.note("restart")
-		rapid.SampledFrom(w.engines).Draw(w.t, "engine").restart()
+	if sim.redundant() {
+		sim.restarts++
+		sim.logf("restart")
+		rapid.SampledFrom(sim.engines).Draw(sim.t, "engine").restart()
 	}
 }
 
-// changeVersion replaces a model or an adapter, if it is whole at present.
-func (w *world) changeVersion() {
-	if !w.spread() {
+// changeVersion changes the version of a model or an adapter, if every name is redundant.
+func (sim *simulation) changeVersion() {
+	if !sim.redundant() {
 		return
 	}
-	w.versions++
-	m := &w.doc.Models[rapid.IntRange(0, len(w.doc.Models)-1).Draw(w.t, "model")]
-	w.note("replace %s", m.Name)
-	if rapid.Bool().Draw(w.t, "base") {
+	sim.versionChanges++
+	m := &sim.doc.Models[rapid.IntRange(0, len(sim.doc.Models)-1).Draw(sim.t, "model")]
+	sim.logf("new version of model %s or its first adapter", m.Name)
+	if rapid.Bool().Draw(sim.t, "base") {
 		m.Version += "+"
 		return
 	}
 	m.Adapters[0].Version += "+"
 }
 
-// settle ends all faults and requires that everything becomes whole again.
-func (w *world) settle() {
-	w.outage = false
-	for _, e := range w.engines {
+// converge ends all faults and requires that the simulation converges.
+func (sim *simulation) converge() {
+	sim.outage = false
+	for _, e := range sim.engines {
 		e.down = false
 	}
-	w.leaders[len(w.leaders)-1].paused = false
+	sim.leaders[len(sim.leaders)-1].paused = false
 	for range 4000 {
-		w.each(w.step)
-		w.flush()
-		w.advance(50 * time.Millisecond)
-		w.check()
-		if w.whole() {
+		sim.eachLeader(sim.step)
+		sim.deliverAll()
+		sim.advance(50 * time.Millisecond)
+		sim.check()
+		if sim.converged() {
 			return
 		}
 	}
-	w.t.Fatalf("never whole again: %s", w.describe())
+	sim.t.Fatalf("not converged within 4000 steps after all faults ended: %s", sim.describe())
 }
 
-// whole says whether every name serves in its version and nothing else is held.
-func (w *world) whole() bool {
-	if !w.spread() {
+// converged reports whether every name is redundant and the engines hold only ready items
+// in the document's versions.
+func (sim *simulation) converged() bool {
+	if !sim.redundant() {
 		return false
 	}
 	current := make(map[string]bool)
-	for _, m := range w.doc.Models {
+	for _, m := range sim.doc.Models {
 		current[m.Name+"/"+m.Version] = true
 		for _, a := range m.Adapters {
 			current[m.Name+"/"+a.Name+"/"+a.Version] = true
 		}
 	}
-	for _, e := range w.engines {
+	for _, e := range sim.engines {
 		for item, held := range e.resident {
 			key := item.Model + "/" + item.Version
 			if !item.IsBase() {
@@ -240,19 +246,21 @@
 	return true
 }
 
-func (w *world) describe() string {
+// describe returns the state of the last leader, the document and the engines, for failure
+// messages.
+func (sim *simulation) describe() string {
 	var out strings.Builder
-	last := w.leaders[len(w.leaders)-1].book
-	fmt.Fprintf(&out, "%d loads, in control %v, surveyed %v, deposed %v", w.loads, last.InControl(), last.Surveyed(w.now), last.Deposed())
+	last := sim.leaders[len(sim.leaders)-1].book
+	fmt.Fprintf(&out, "%d loads, in control %v, surveyed %v, deposed %v", sim.loads, last.InControl(), last.Surveyed(sim.now), last.Deposed())
 	for _, a := range last.goal.Assignments {
 		if a.Reason != placement.ReasonStays {
 			fmt.Fprintf(&out, "\nwanted: %s %v (%s)", a.Engine, a.Item, a.Reason)
 		}
 	}
-	for _, m := range w.doc.Models {
+	for _, m := range sim.doc.Models {
 		fmt.Fprintf(&out, "\n%s@%s %v", m.Name, m.Version, m.Adapters)
 	}
-	for _, e := range w.engines {
+	for _, e := range sim.engines {
 		out.WriteString("\n" + e.name + " (" + e.domain + "):")
 		for item, held := range e.resident {
 			out.WriteString(" " + item.Model + "/" + item.Adapter + "@" + item.Version)
@@ -260,35 +268,34 @@
 				out.WriteString("(loading)")
 			}
 		}
-		out.WriteString("\n  account: " + string(w.kv["/p/engines/"+e.name].Value))
+		out.WriteString("\n  account: " + string(sim.kv["/p/engines/"+e.name].Value))
 	}
 	return out.String()
 }
 
-// Orders and answers are lost, late, repeated and reordered, leaders pause and
-// overlap, engines restart and a failure domain goes. If an engine were then
-// asked to hold more than it has, it would fail every request that it runs; if
-// the last ready copy went, callers of that model would be refused.
+// Orders and answers are lost, delayed, duplicated and reordered, leaders pause and
+// overlap, engines restart and a failure domain is lost. An engine must not be ordered to
+// hold more than its memory, or it would fail every request that it runs; and the last
+// ready copy of a model must not be unloaded, or its callers would be refused.
 func TestFuzzBooks(t *testing.T) {
 	var loads, unloads, lost, restarts, versions, leaders int
 	rapid.Check(t, func(t *rapid.T) {
-		w := fuzz(t, faults{})
-		loads, unloads, lost = loads+w.loads, unloads+w.unloads, lost+w.lost
-		restarts, versions, leaders = restarts+w.restarts, versions+w.versions, leaders+len(w.leaders)
+		sim := runSimulation(t, faults{})
+		loads, unloads, lost = loads+sim.loads, unloads+sim.unloads, lost+sim.domainsLost
+		restarts, versions, leaders = restarts+sim.restarts, versions+sim.versionChanges, leaders+len(sim.leaders)
 	})
 	t.Logf("%d loads, %d unloads, %d domains lost, %d restarts, %d versions, %d leaders",
 		loads, unloads, lost, restarts, versions, leaders)
 }
 
-// Each of these worlds once ended with a model that had no ready copy, or never
-// became whole again: an unload that counted on a copy that was itself on its
-// way out, on an engine that had just restarted, or on a plan made while engines
-// were out of hearing.
+// Each of these seeds has ended with a model without a ready copy, or has never converged.
+// The causes were unloads that relied on a copy that was itself being unloaded, on an
+// engine that had just restarted, or on a plan made while engines sent no reports.
 func TestSeedsThatFoundFaults(t *testing.T) {
 	for _, seed := range []int{862, 5893, 7084667, 22579, 27035, 7002279, 8015932} {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			withFlags(t, seed, 1)
-			rapid.Check(t, func(t *rapid.T) { fuzz(t, faults{}) })
+			rapid.Check(t, func(t *rapid.T) { runSimulation(t, faults{}) })
 		})
 	}
 }
@@ -306,11 +313,11 @@
 	}
 }
 
-// plantedChecks bounds the search for a planted fault that its seed no longer
-// shows, because the book or the world has changed since.
+// plantedChecks is the number of simulations run to detect a planted fault if its seed no
+// longer does, because the code or the simulation has changed.
 const plantedChecks = 1500
 
-// recorder is a rapid.TB that takes a failure as a result.
+// recorder is a rapid.TB that records failure messages instead of failing the test.
 type recorder struct {
 	testing.TB
 	message string
@@ -328,20 +335,21 @@
 	r.message += fmt.Sprintf(f, a...)
 }
 
-// finds fuzzes with a planted fault and returns what was found.
-func finds(t *testing.T, planted faults, seed, checks int) string {
+// runWithFault runs simulations with a planted fault and returns the failure message, or
+// "" if there was none.
+func runWithFault(t *testing.T, planted faults, seed, checks int) string {
 	withFlags(t, seed, checks)
 	r := &recorder{TB: t}
-	rapid.Check(r, func(t *rapid.T) { fuzz(t, planted) })
+	rapid.Check(r, func(t *rapid.T) { runSimulation(t, planted) })
 	return r.message
 }
 
-// reproduce finds the seed in what rapid reports.
-var reproduce = regexp.MustCompile(`failed after .*|-rapid.seed=\d+`)
+// reproducePattern matches the cause and the seed in rapid's failure message.
+var reproducePattern = regexp.MustCompile(`failed after .*|-rapid.seed=\d+`)
 
-// An oracle that finds nothing proves nothing. Each of these faults is a
-// plausible way to write the book, and would overcommit an engine, unload the
-// last copy of a model or flood the weight store.
+// The oracle must detect each planted fault; otherwise its passing would prove nothing.
+// Each fault is a plausible mistake in this package, and would overcommit an engine, unload
+// the last copy of a model or overload the weight store.
 func TestFuzzFindsPlantedFaults(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -359,12 +367,12 @@
 		{"forget the write under way", faults{blindToPending: true}, 254, "unreachable"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			found := finds(t, c.planted, c.seed, 1)
+			found := runWithFault(t, c.planted, c.seed, 1)
 			if found == "" {
-				found = finds(t, c.planted, 1, plantedChecks)
-				t.Logf("seed %d no longer shows it", c.seed)
+				found = runWithFault(t, c.planted, 1, plantedChecks)
+				t.Logf("seed %d no longer detects the planted fault", c.seed)
 			}
-			t.Log(reproduce.FindAllString(found, 2))
+			t.Log(reproducePattern.FindAllString(found, 2))
 			require.Contains(t, found, c.want)
 		})
 	}
--- a/internal/order/next.go
+++ b/internal/order/next.go
@@ -7,8 +7,8 @@
 	"github.com/chestnutarch/chestnutarch/internal/placement"
 )
 
-// Next returns what has to be done at this time. It is called after every
-// event and from time to time without one.
+// Next returns the actions to execute now. It must be called after every event, and
+// periodically without one.
 func (b *Book) Next(now time.Time) []Action {
 	if b.deposed {
 		return nil
@@ -17,14 +17,14 @@
 	actions = b.stepIndex(actions)
 	actions = b.stepRegisters(actions)
 	actions = b.stepPolls(actions, now)
-	b.noteControl(now)
-	b.draft(now)
-	b.noteQuiet(now)
-	if b.ready {
+	b.updateControl(now)
+	b.draftAccounts(now)
+	b.updateQuiet(now)
+	if b.ownsAll {
 		b.decideUnloads(now)
 		b.decideLoads(now)
 	}
-	actions = b.flush(actions)
+	actions = b.writeDrafts(actions)
 	actions = b.stepSends(actions, now)
 	if b.deposed {
 		return nil
@@ -32,9 +32,9 @@
 	return actions
 }
 
-// stepIndex makes the index name every engine and carry this leader's mark.
-// An account may be made only for an engine in the index; so a leader that has
-// marked the index knows of every account there can be.
+// stepIndex makes the index list every engine and carry this leader's fencing number. An
+// account may be created only for an engine in the index, so a leader that has written
+// its fencing number to the index has the complete list of possible accounts.
 func (b *Book) stepIndex(actions []Action) []Action {
 	if a, ok := b.index.next(); ok {
 		return append(actions, a)
@@ -42,215 +42,223 @@
 	if !b.index.idle() {
 		return actions
 	}
-	if len(b.names) == len(b.listed.Engines) && b.listed.Fence == b.options.Fence {
+	if len(b.engineNames) == len(b.knownIndex.Engines) && b.knownIndex.Fence == b.options.Fence {
 		return actions
 	}
-	names := slices.Clone(b.listed.Engines)
-	for _, name := range b.names {
-		if _, found := slices.BinarySearch(b.listed.Engines, name); !found {
+	names := slices.Clone(b.knownIndex.Engines)
+	for _, name := range b.engineNames {
+		if _, found := slices.BinarySearch(b.knownIndex.Engines, name); !found {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
-	next := Index{Fence: b.options.Fence, Nonce: b.unique(), Engines: names}
+	next := Index{Fence: b.options.Fence, Nonce: b.uniqueID(), Engines: names}
 	return append(actions, b.index.write(next.Encode()))
 }
 
-// stepRegisters reads every account in the index and marks it.
+// stepRegisters reads every account in the index and writes this leader's fencing number
+// to it.
 func (b *Book) stepRegisters(actions []Action) []Action {
-	for _, name := range b.names {
-		l := b.lines[name]
-		if !l.listed {
+	for _, name := range b.engineNames {
+		state := b.engines[name]
+		if !state.listed {
 			continue
 		}
-		if a, ok := l.next(); ok {
+		if a, ok := state.next(); ok {
 			actions = append(actions, a)
 			continue
 		}
-		if l.idle() && !l.owned {
-			mark := l.account
-			mark.Engine = name
-			mark.Fence = b.options.Fence
-			mark.Nonce = b.unique()
-			l.proposed = mark
-			actions = append(actions, l.write(mark.Encode()))
+		if state.idle() && !state.owned {
+			proposal := state.account
+			proposal.Engine = name
+			proposal.Fence = b.options.Fence
+			proposal.Nonce = b.uniqueID()
+			state.proposed = proposal
+			actions = append(actions, state.write(proposal.Encode()))
 		}
 	}
 	return actions
 }
 
+// stepPolls polls every engine in the document whose next poll is due.
 func (b *Book) stepPolls(actions []Action, now time.Time) []Action {
-	for _, name := range b.names {
-		l := b.lines[name]
-		if l.spec == nil || l.polling || now.Before(l.nextPoll) {
+	for _, name := range b.engineNames {
+		state := b.engines[name]
+		if state.spec == nil || state.polling || now.Before(state.nextPoll) {
 			continue
 		}
-		l.polling = true
-		actions = append(actions, Poll{Engine: name, Revision: l.revision, Began: now})
+		state.polling = true
+		actions = append(actions, Poll{Engine: name, Revision: state.revision, Began: now})
 	}
 	return actions
 }
 
-// noteControl finds out whether every account is this leader's. Before that,
-// an older leader could still record an order that this one does not see: two
-// leaders could each unload the copy that the other counts on.
-func (b *Book) noteControl(now time.Time) {
-	owned := len(b.names) > 0
-	for _, name := range b.names {
-		owned = owned && (b.lines[name].owned || b.faults.skipTakeover)
+// updateControl checks whether every account carries this leader's fencing number. Until
+// then, an older leader could still record an order that this one does not see: two
+// leaders could each unload the copy that the other relies on.
+func (b *Book) updateControl(now time.Time) {
+	owned := len(b.engineNames) > 0
+	for _, name := range b.engineNames {
+		owned = owned && (b.engines[name].owned || b.faults.skipTakeover)
 	}
-	if owned && b.inControl.IsZero() {
-		b.inControl = now
+	if owned && b.inControlSince.IsZero() {
+		b.inControlSince = now
 	}
-	b.ready = owned
+	b.ownsAll = owned
 }
 
-// draft starts every line's next account from what is certain.
-func (b *Book) draft(now time.Time) {
-	for _, name := range b.names {
-		l := b.lines[name]
-		l.draft = l.account
-		l.changed = false
-		if !l.owned || !l.idle() {
+// draftAccounts starts every engine's next account from its last known one, and applies
+// a new incarnation and the definite answers.
+func (b *Book) draftAccounts(now time.Time) {
+	for _, name := range b.engineNames {
+		state := b.engines[name]
+		state.draft = state.account
+		state.changed = false
+		if !state.owned || !state.idle() {
 			continue
 		}
-		if b.newIncarnation(l) {
-			l.draft = l.draft.Reset(l.report.Incarnation, b.brought(l))
-			l.changed = true
-			clear(l.answers)
+		if b.newIncarnation(state) {
+			state.draft = state.draft.Reset(state.report.Incarnation, b.residentEntries(state))
+			state.changed = true
+			clear(state.answers)
 			continue
 		}
-		for _, id := range sortedKeys(l.answers) {
-			b.holdFailed(l, id, now)
-			l.draft = l.draft.Settle(id, l.answers[id])
-			l.changed = true
+		for _, id := range sortedKeys(state.answers) {
+			b.delayRetry(state, id, now)
+			state.draft = state.draft.Settle(id, state.answers[id])
+			state.changed = true
 		}
 	}
-	b.noteRemoved(now)
+	b.updateRemoved(now)
 }
 
-// holdFailed puts off the next order for an item whose last one failed. An
-// engine that cannot do it now would otherwise be asked in every step.
-func (b *Book) holdFailed(l *line, id string, now time.Time) {
-	if l.answers[id] != Failed && l.answers[id] != Refused {
+// delayRetry delays the next order for an item whose order failed or was refused. An
+// engine that cannot execute it now would otherwise receive one in every step.
+func (b *Book) delayRetry(state *engineState, id string, now time.Time) {
+	if state.answers[id] != Failed && state.answers[id] != Refused {
 		return
 	}
-	for _, e := range l.draft.Entries {
+	for _, e := range state.draft.Entries {
 		if e.Load == id || e.Unload == id {
-			l.holds[e.Item] = now.Add(b.options.RetryFailed)
+			state.retryAfter[e.Item] = now.Add(b.options.RetryFailed)
 		}
 	}
 }
 
-// newIncarnation says whether the engine is in a later incarnation than the
-// account. A report is believed only if its poll began after the account was
-// read: an older one may name the incarnation before the account's.
-func (b *Book) newIncarnation(l *line) bool {
-	if l.report == nil || l.report.Incarnation == l.account.Incarnation {
+// newIncarnation reports whether the engine is in a later incarnation than the account.
+// A report is used only if its poll began after the account was read: an older one may
+// contain an incarnation before the account's.
+func (b *Book) newIncarnation(state *engineState) bool {
+	if state.report == nil || state.report.Incarnation == state.account.Incarnation {
 		return false
 	}
-	return l.reportRevision == l.revision || b.faults.trustOldReport
+	return state.reportRevision == state.revision || b.faults.trustOldReport
 }
 
-// brought lists what a new incarnation holds by itself. Memory that the report
-// counts but the document does not know is spread over the unknown items, so
-// that the sum is right.
-func (b *Book) brought(l *line) []Entry {
+// residentEntries returns entries for the items that a new incarnation holds after its
+// start. Memory that is reported but not accounted for by the document's items is
+// attributed to the first item that is not in the document, so that the sum is right.
+func (b *Book) residentEntries(state *engineState) []Entry {
 	var entries []Entry
 	var unknown []int
-	rest := l.report.MemoryUsed
-	for _, r := range l.report.Resident {
+	unassigned := state.report.MemoryUsed
+	for _, r := range state.report.Resident {
 		memory, known := b.goal.Memory[r.Item]
 		if !known {
 			unknown = append(unknown, len(entries))
 		}
-		rest -= memory
+		unassigned -= memory
 		entries = append(entries, Entry{Item: r.Item, Memory: memory})
 	}
-	if len(unknown) > 0 && rest > 0 {
-		entries[unknown[0]].Memory = rest
+	if len(unknown) > 0 && unassigned > 0 {
+		entries[unknown[0]].Memory = unassigned
 	}
 	return entries
 }
 
-// flush writes the changed drafts.
-func (b *Book) flush(actions []Action) []Action {
-	for _, name := range b.names {
-		l := b.lines[name]
-		if !l.changed || !l.idle() {
+// writeDrafts writes the changed drafts.
+func (b *Book) writeDrafts(actions []Action) []Action {
+	for _, name := range b.engineNames {
+		state := b.engines[name]
+		if !state.changed || !state.idle() {
 			continue
 		}
-		l.draft.Fence = b.options.Fence
-		l.draft.Nonce = b.unique()
-		l.proposed = l.draft
-		actions = append(actions, l.write(l.draft.Encode()))
+		state.draft.Fence = b.options.Fence
+		state.draft.Nonce = b.uniqueID()
+		state.proposed = state.draft
+		actions = append(actions, state.write(state.draft.Encode()))
 	}
 	return actions
 }
 
-// stepSends sends every recorded order that has no definite answer. Only what
-// the service is known to hold is sent.
+// stepSends sends every recorded order that has no definite answer. Only orders that are
+// known to be stored in the key-value service are sent.
 func (b *Book) stepSends(actions []Action, now time.Time) []Action {
-	for _, name := range b.names {
-		l := b.lines[name]
-		if !l.owned || !b.current(l, now) {
+	for _, name := range b.engineNames {
+		state := b.engines[name]
+		if !state.owned || !b.hasCurrentReport(state, now) {
 			continue
 		}
-		account := l.account
-		if b.faults.sendBeforeWrite && l.pending != nil {
-			account = l.draft
+		account := state.account
+		if b.faults.sendBeforeWrite && state.pending != nil {
+			account = state.draft
 		}
 		for _, e := range account.Entries {
-			actions = b.stepSend(actions, l, e, now)
+			actions = b.stepSend(actions, state, e, now)
 		}
 	}
 	return actions
 }
 
-func (b *Book) stepSend(actions []Action, l *line, e Entry, now time.Time) []Action {
+// stepSend sends the orders of one entry that are due and not in flight.
+func (b *Book) stepSend(actions []Action, state *engineState, e Entry, now time.Time) []Action {
 	for _, o := range []Order{{ID: e.Load, Kind: Load}, {ID: e.Unload, Kind: Unload}} {
 		if o.ID == "" {
 			continue
 		}
-		if _, answered := l.answers[o.ID]; answered {
+		if _, answered := state.answers[o.ID]; answered {
 			continue
 		}
-		s, known := l.sends[o.ID]
+		s, known := state.sends[o.ID]
 		if !known {
-			s = &sending{}
-			l.sends[o.ID] = s
+			s = &sendState{}
+			state.sends[o.ID] = s
 		}
-		if s.inFlight || now.Before(s.next) {
+		if s.inFlight || now.Before(s.nextSend) {
 			continue
 		}
 		s.inFlight = true
 		o.Fence, o.Item, o.Memory = b.options.Fence, e.Item, e.Memory
-		actions = append(actions, Send{Engine: l.name, Incarnation: l.account.Incarnation, Order: o})
+		actions = append(actions, Send{Engine: state.name, Incarnation: state.account.Incarnation, Order: o})
 	}
 	return actions
 }
 
-// current says whether the engine was heard lately in the account's incarnation.
-func (b *Book) current(l *line, now time.Time) bool {
-	return b.fresh(l, now) && l.report.Incarnation == l.account.Incarnation
+// hasCurrentReport reports whether the engine has a fresh report from the account's
+// incarnation.
+func (b *Book) hasCurrentReport(state *engineState, now time.Time) bool {
+	return b.hasFreshReport(state, now) && state.report.Incarnation == state.account.Incarnation
 }
 
-func (b *Book) fresh(l *line, now time.Time) bool {
-	return l.spec != nil && l.report != nil && now.Sub(l.reportBegan) <= b.options.ReportFresh
+// hasFreshReport reports whether the engine is in the document and the poll of its last
+// report began at most ReportFresh ago.
+func (b *Book) hasFreshReport(state *engineState, now time.Time) bool {
+	return state.spec != nil && state.report != nil && now.Sub(state.reportBegan) <= b.options.ReportFresh
 }
 
-func (b *Book) noteRemoved(now time.Time) {
-	for name := range b.removed {
+// updateRemoved records since when each held name has been missing from the document.
+func (b *Book) updateRemoved(now time.Time) {
+	for name := range b.removedSince {
 		if _, named := b.goal.Versions[name]; named {
-			delete(b.removed, name)
+			delete(b.removedSince, name)
 		}
 	}
-	for _, l := range b.lines {
-		for _, e := range l.draft.Entries {
+	for _, state := range b.engines {
+		for _, e := range state.draft.Entries {
 			name := e.Item.Name()
 			_, named := b.goal.Versions[name]
-			if _, noted := b.removed[name]; !named && !noted {
-				b.removed[name] = now
+			if _, noted := b.removedSince[name]; !named && !noted {
+				b.removedSince[name] = now
 			}
 		}
 	}
@@ -265,36 +273,37 @@
 	return keys
 }
 
-// present says whether an engine counts as there for planning. It is slower to
-// give an engine up than fresh, so that a few lost reports move nothing.
-func (b *Book) present(l *line, now time.Time) bool {
-	return l.report != nil && now.Sub(l.reportBegan) <= b.options.AbsentAfter &&
-		l.report.Incarnation == l.account.Incarnation && !l.report.Draining
+// present reports whether an engine counts as available for placement. AbsentAfter is
+// meant to be longer than ReportFresh, so that a few lost reports cause no moves.
+func (b *Book) present(state *engineState, now time.Time) bool {
+	return state.report != nil && now.Sub(state.reportBegan) <= b.options.AbsentAfter &&
+		state.report.Incarnation == state.account.Incarnation && !state.report.Draining
 }
 
-// uncertain says whether an engine that is not present may be in a moment: it is
-// out of hearing, or has restarted and its account is not written anew yet.
-func (b *Book) uncertain(l *line, now time.Time) bool {
-	if b.present(l, now) || (l.report != nil && l.report.Draining) {
+// uncertain reports whether an engine that is not present may be so again soon: its
+// reports are missing, or it has restarted and its account is not rewritten yet.
+func (b *Book) uncertain(state *engineState, now time.Time) bool {
+	if b.present(state, now) || (state.report != nil && state.report.Draining) {
 		return false
 	}
-	last := l.lastHeard
-	if last.Before(b.inControl) {
-		last = b.inControl
+	last := state.lastReportAt
+	if last.Before(b.inControlSince) {
+		last = b.inControlSince
 	}
 	return now.Sub(last) <= b.options.ReduceAfter
 }
 
-// noteQuiet notes since when nothing moves.
-func (b *Book) noteQuiet(now time.Time) {
-	for _, name := range b.names {
-		l := b.lines[name]
-		if l.spec == nil {
+// updateQuiet resets quietSince if an engine is not present, an account is being changed
+// or a copy does not serve.
+func (b *Book) updateQuiet(now time.Time) {
+	for _, name := range b.engineNames {
+		state := b.engines[name]
+		if state.spec == nil {
 			continue
 		}
-		quiet := b.present(l, now) && l.idle() && !l.changed
-		for _, e := range l.draft.Entries {
-			quiet = quiet && b.serves(l, e.Item, now)
+		quiet := b.present(state, now) && state.idle() && !state.changed
+		for _, e := range state.draft.Entries {
+			quiet = quiet && b.serves(state, e.Item, now)
 		}
 		if !quiet {
 			b.quietSince = now
@@ -303,51 +312,51 @@
 	}
 }
 
-// Quiet says whether nothing has moved for long: what has no place now will not
-// get one by waiting.
+// Quiet reports whether nothing has changed for longer than ReduceAfter: a copy that has
+// no place now will not get one by waiting.
 func (b *Book) Quiet(now time.Time) bool {
 	since := b.quietSince
-	if since.Before(b.inControl) {
-		since = b.inControl
+	if since.Before(b.inControlSince) {
+		since = b.inControlSince
 	}
 	return b.InControl() && now.Sub(since) > b.options.ReduceAfter
 }
 
-// Surveyed says whether every engine has been heard since this leader began, or
-// has had the time for it. A plan made before would take the engines that have
-// not answered yet for lost, and load copies of what they hold.
+// Surveyed reports whether every engine in the document has a current report, or
+// AbsentAfter has passed since this leader took control. An earlier plan would treat the
+// engines that have not answered yet as lost, and load further copies of what they hold.
 func (b *Book) Surveyed(now time.Time) bool {
 	if !b.InControl() {
 		return false
 	}
-	if now.Sub(b.inControl) > b.options.AbsentAfter {
+	if now.Sub(b.inControlSince) > b.options.AbsentAfter {
 		return true
 	}
-	for _, name := range b.names {
-		if l := b.lines[name]; l.spec != nil && !b.current(l, now) {
+	for _, name := range b.engineNames {
+		if state := b.engines[name]; state.spec != nil && !b.hasCurrentReport(state, now) {
 			return false
 		}
 	}
 	return true
 }
 
-// View is what the placement needs to know of the engines in the document.
+// View returns the placement's input for the engines in the document.
 func (b *Book) View(now time.Time) []placement.Engine {
 	var engines []placement.Engine
 	for _, spec := range b.goal.Engines {
-		l := b.lines[spec.Name]
+		state := b.engines[spec.Name]
 		e := placement.Engine{
 			Name:          spec.Name,
 			FailureDomain: spec.FailureDomain,
 			Capacity:      spec.Capacity,
-			Available:     b.present(l, now),
-			Uncertain:     b.uncertain(l, now),
+			Available:     b.present(state, now),
+			Uncertain:     b.uncertain(state, now),
 		}
-		for _, entry := range l.account.Entries {
+		for _, entry := range state.account.Entries {
 			e.Holds = append(e.Holds, placement.Held{
 				Item:    entry.Item,
 				Memory:  entry.Memory,
-				Ready:   b.serves(l, entry.Item, now),
+				Ready:   b.serves(state, entry.Item, now),
 				Leaving: entry.Unload != "",
 			})
 		}
--- a/internal/order/oracle_test.go
+++ b/internal/order/oracle_test.go
@@ -8,43 +8,45 @@
 	"github.com/chestnutarch/chestnutarch/internal/placement"
 )
 
-// check compares the world with what must always hold.
-func (w *world) check() {
-	w.checkMemory()
-	w.checkStore()
-	w.checkReady()
+// check checks the invariants of the simulation.
+func (sim *simulation) check() {
+	sim.checkMemory()
+	sim.checkWeightStore()
+	sim.checkReady()
 }
 
-// checkMemory adds up what each engine holds and what could still come to it by
-// a load order that flies.
-func (w *world) checkMemory() {
-	for _, e := range w.engines {
-		could := make(map[placement.Item]int64)
+// checkMemory checks that no engine's capacity is exceeded by what it holds together with
+// what load orders in flight could still load.
+func (sim *simulation) checkMemory() {
+	for _, e := range sim.engines {
+		possible := make(map[placement.Item]int64)
 		for item, held := range e.resident {
-			could[item] = held.memory
+			possible[item] = held.memory
 		}
-		for _, f := range w.flying {
-			s, isSend := f.action.(Send)
-			if !isSend || f.arrived || s.Engine != e.name || s.Incarnation != e.incarnation() || s.Order.Kind != Load {
+		for _, m := range sim.inFlight {
+			s, isSend := m.action.(Send)
+			if !isSend || m.arrived || s.Engine != e.name || s.Incarnation != e.incarnation() || s.Order.Kind != Load {
 				continue
 			}
-			if _, known := e.orders[s.Order.ID]; !known {
-				could[s.Order.Item] = s.Order.Memory
+			if _, known := e.answers[s.Order.ID]; !known {
+				possible[s.Order.Item] = s.Order.Memory
 			}
 		}
 		var sum int64
-		for _, memory := range could {
+		for _, memory := range possible {
 			sum += memory
 		}
 		if sum > e.capacity {
-			w.t.Fatalf("overcommit: %s could hold %d of %d: %v", e.name, sum, e.capacity, could)
+			sim.t.Fatalf("overcommit: %s could hold %d, more than its capacity of %d: %v", e.name, sum, e.capacity, possible)
 		}
 	}
 }
 
-func (w *world) checkStore() {
+// checkWeightStore checks the limits on loads that run at once and on loads started per
+// second.
+func (sim *simulation) checkWeightStore() {
 	running := 0
-	for _, e := range w.engines {
+	for _, e := range sim.engines {
 		for _, held := range e.resident {
 			if !held.ready {
 				running++
@@ -52,18 +54,18 @@
 		}
 	}
 	if running > fuzzConcurrent {
-		w.t.Fatalf("weight store: %d loads at once", running)
+		sim.t.Fatalf("weight store: %d loads run at once, more than its limit", running)
 	}
-	if n := len(w.starts); n > fuzzRate && w.starts[n-1].Sub(w.starts[n-1-fuzzRate]) < time.Second {
-		w.t.Fatalf("weight store: %d loads started within a second", fuzzRate+1)
+	if n := len(sim.starts); n > fuzzRate && sim.starts[n-1].Sub(sim.starts[n-1-fuzzRate]) < time.Second {
+		sim.t.Fatalf("weight store: %d loads started within a second, more than its limit", fuzzRate+1)
 	}
 }
 
-// domainsReady counts the failure domains where a name serves, in any version.
-// Copies in given, by engine, are left out.
-func (w *world) domainsReady(n placement.Name, given []map[placement.Item]struct{}) int {
+// readyDomains counts the failure domains where a name serves, in any version. Copies in
+// unloading, by engine, are not counted.
+func (sim *simulation) readyDomains(n placement.Name, unloading []map[placement.Item]struct{}) int {
 	domains := make(map[string]struct{})
-	for i, e := range w.engines {
+	for i, e := range sim.engines {
 		if e.down {
 			continue
 		}
@@ -71,8 +73,8 @@
 			if item.Name() != n || !held.ready || !(item.IsBase() || e.hasBase(n.Model)) {
 				continue
 			}
-			if given != nil {
-				if _, gone := given[i][item]; gone {
+			if unloading != nil {
+				if _, gone := unloading[i][item]; gone {
 					continue
 				}
 			}
@@ -82,8 +84,9 @@
 	return len(domains)
 }
 
-// givenUp lists what a recorded order may unload, or one that is being recorded.
-func (w *world) givenUp(e *fakeEngine) map[placement.Item]struct{} {
+// unloadingItems returns the items of an engine that an unload order, recorded or being
+// recorded, may unload.
+func (sim *simulation) unloadingItems(e *fakeEngine) map[placement.Item]struct{} {
 	out := make(map[placement.Item]struct{})
 	note := func(value []byte) {
 		account, err := DecodeAccount(value)
@@ -94,20 +97,20 @@
 		}
 	}
 	key := "/p/engines/" + e.name
-	if bytes.Contains(w.kv[key].Value, []byte(`"unload"`)) {
-		note(w.kv[key].Value)
+	if bytes.Contains(sim.kv[key].Value, []byte(`"unload"`)) {
+		note(sim.kv[key].Value)
 	}
-	for _, f := range w.flying {
-		if write, ok := f.action.(Write); ok && !f.arrived && write.Key == key && bytes.Contains(write.Value, []byte(`"unload"`)) {
+	for _, m := range sim.inFlight {
+		if write, ok := m.action.(Write); ok && !m.arrived && write.Key == key && bytes.Contains(write.Value, []byte(`"unload"`)) {
 			note(write.Value)
 		}
 	}
 	return out
 }
 
-func (w *world) names() []placement.Name {
+func (sim *simulation) names() []placement.Name {
 	var names []placement.Name
-	for _, m := range w.doc.Models {
+	for _, m := range sim.doc.Models {
 		names = append(names, placement.Name{Model: m.Name})
 		for _, a := range m.Adapters {
 			names = append(names, placement.Name{Model: m.Name, Adapter: a.Name})
@@ -116,29 +119,30 @@
 	return names
 }
 
-// spread says whether every name serves in two failure domains, by copies that
-// nobody has given up.
-func (w *world) spread() bool {
-	var given []map[placement.Item]struct{}
-	for _, e := range w.engines {
-		given = append(given, w.givenUp(e))
+// redundant reports whether every name serves in two failure domains, by copies without
+// an unload order.
+func (sim *simulation) redundant() bool {
+	var unloading []map[placement.Item]struct{}
+	for _, e := range sim.engines {
+		unloading = append(unloading, sim.unloadingItems(e))
 	}
-	for _, n := range w.names() {
-		if w.domainsReady(n, given) < 2 {
+	for _, n := range sim.names() {
+		if sim.readyDomains(n, unloading) < 2 {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *world) checkReady() {
-	w.reached = w.reached || w.spread()
-	if !w.reached {
+// checkReady checks that every name has a ready copy, once all were redundant.
+func (sim *simulation) checkReady() {
+	sim.wasRedundant = sim.wasRedundant || sim.redundant()
+	if !sim.wasRedundant {
 		return
 	}
-	for _, n := range w.names() {
-		if w.domainsReady(n, nil) == 0 {
-			w.t.Fatalf("unreachable: %s has no ready copy\n%s%s", n, strings.Join(w.log[max(0, len(w.log)-40):], "\n"), w.describe())
+	for _, n := range sim.names() {
+		if sim.readyDomains(n, nil) == 0 {
+			sim.t.Fatalf("unreachable: %s has no ready copy\n%s%s", n, strings.Join(sim.log[max(0, len(sim.log)-40):], "\n"), sim.describe())
 		}
 	}
 }
--- a/internal/order/register.go
+++ b/internal/order/register.go
@@ -2,35 +2,37 @@
 
 import "bytes"
 
-// register follows one key of the key-value service through lost answers.
+// register tracks the value of one key of the key-value service, also when results of
+// its reads and writes are lost.
 type register struct {
 	key      string
-	read     bool
+	loaded   bool
 	reading  bool
 	revision int64
 	value    []byte
-	// pending is the write whose outcome is not known yet.
+	// pending is the write whose outcome is not known yet, or nil.
 	pending *Write
-	// inFlight says that the answer to pending may still come.
+	// inFlight is true while the result of pending is awaited.
 	inFlight bool
 }
 
-// idle says whether the value is known and nothing is under way.
+// idle reports whether the value is known and no write is pending.
 func (r *register) idle() bool {
-	return r.read && r.pending == nil
+	return r.loaded && r.pending == nil
 }
 
-// next returns the action that the register itself needs.
+// next returns the action that is needed to learn the value or the outcome of the
+// pending write, if there is one.
 func (r *register) next() (Action, bool) {
 	switch {
 	case r.reading || r.inFlight:
 		return nil, false
-	case !r.read:
+	case !r.loaded:
 		r.reading = true
 		return Read{Key: r.key}, true
 	case r.pending != nil:
-		// The outcome was unknown and the value read since was the old one.
-		// The same write again is safe: at most one of the two can find the
+		// The outcome was unknown and a later read returned the old value.
+		// Repeating the write is safe: at most one of the two can find the
 		// expected revision.
 		r.inFlight = true
 		return *r.pending, true
@@ -38,6 +40,7 @@
 	return nil, false
 }
 
+// write starts a compare-and-swap of the known value.
 func (r *register) write(value []byte) Write {
 	w := Write{Key: r.key, Expected: r.revision, Value: value}
 	r.pending = &w
@@ -45,14 +48,14 @@
 	return w
 }
 
-// readDone takes a value in. A write whose answer was lost is recognised by its
-// value, which no other write can have.
+// readDone records the result of a read. With ok false nothing was learned. A write whose
+// outcome was unknown is recognised by its value, which no other write can have.
 func (r *register) readDone(s Stored, ok bool) {
 	r.reading = false
 	if !ok {
 		return
 	}
-	r.read = true
+	r.loaded = true
 	r.revision = s.Revision
 	r.value = s.Value
 	if r.pending == nil {
@@ -63,12 +66,12 @@
 	}
 }
 
-// written takes the outcome of a write in.
+// written records the outcome of a write. Current is the conflicting value, if known.
 func (r *register) written(outcome WriteOutcome, revision int64, current *Stored) {
 	r.inFlight = false
 	switch {
 	case r.pending == nil:
-		r.read = false
+		r.loaded = false
 	case outcome == TookEffect:
 		r.value = r.pending.Value
 		r.revision = revision
@@ -76,6 +79,6 @@
 	case outcome == DidNot && current != nil:
 		r.readDone(*current, true)
 	default:
-		r.read = false
+		r.loaded = false
 	}
 }
--- a/internal/order/report_test.go
+++ b/internal/order/report_test.go
@@ -9,10 +9,10 @@
 	"github.com/chestnutarch/chestnutarch/internal/placement"
 )
 
-// A new leader asks an engine for its report while the engine restarts and the
-// leader before it loads a model into the new incarnation. The answer names the
-// incarnation before. If the account were reset by it, the model's memory would
-// count as free and the next load would overcommit the engine.
+// A new leader polls an engine while the engine restarts and the previous leader loads a
+// model into the new incarnation. The report is from the old incarnation. If it reset the
+// account, the model's memory would count as free and the next load would overcommit the
+// engine.
 func TestReportFromBeforeTheAccountWasReadResetsNothing(t *testing.T) {
 	for _, trust := range []bool{false, true} {
 		now := time.Unix(1_000_000, 0)
@@ -44,7 +44,7 @@
 				b.Written(w.Key, TookEffect, kv[w.Key].Revision+1, nil)
 			}
 		}
-		held := b.lines["e"].account.Used()
-		require.Equal(t, trust, held == 0, "the planted fault has to show")
+		held := b.engines["e"].account.Used()
+		require.Equal(t, trust, held == 0, "the old report must empty the account with the planted fault, and only then")
 	}
 }
--- a/internal/order/simulation_test.go
+++ b/internal/order/simulation_test.go
@@ -11,90 +11,92 @@
 	"github.com/chestnutarch/chestnutarch/internal/placement"
 )
 
-// world is the outside of some books: a key-value service, engines and a
-// network that loses, delays, repeats and reorders. It is stepped by a loop.
-type world struct {
-	t       *rapid.T
-	now     time.Time
-	doc     *document.Document
-	faults  faults
-	kv      map[string]Stored
-	rev     int64
-	outage  bool
-	engines []*fakeEngine
-	leaders []*leader
-	flying  []*flight
-	// starts holds when each load started, for the weight store's rate.
+// simulation simulates the environment of several leaders: a key-value service, engines,
+// and a network that loses, delays, duplicates and reorders messages. A test steps it.
+type simulation struct {
+	t        *rapid.T
+	now      time.Time
+	doc      *document.Document
+	faults   faults
+	kv       map[string]Stored
+	revision int64
+	outage   bool
+	engines  []*fakeEngine
+	leaders  []*leader
+	inFlight []*message
+	// starts holds the start time of each load, to check the weight store's rate limit.
 	starts []time.Time
-	// reached says that every name was ready in two failure domains once.
-	reached                  bool
-	lost, restarts, versions int
-	// log is what happened, for the report of a failure.
+	// wasRedundant means that every name has been ready in two failure domains at least
+	// once.
+	wasRedundant                          bool
+	domainsLost, restarts, versionChanges int
+	// log holds the events so far, for failure messages.
 	log     []string
 	loads   int
 	unloads int
 }
 
-// leader is one planner that believes to lead.
+// leader is a planner that acts as leader, possibly after it was deposed.
 type leader struct {
-	book    *Book
-	planned time.Time
-	paused  bool
-	gone    bool
+	book      *Book
+	plannedAt time.Time
+	paused    bool
+	deposed   bool
 }
 
-// flight is a request or an answer on its way. A request that was given up by
-// its sender still flies.
-type flight struct {
-	from   *leader
+// message is a request or an answer in flight. A request stays in flight after its sender
+// has timed out.
+type message struct {
+	sender *leader
 	action Action
-	// answer tells the sender the result, once the request has arrived.
-	answer  func()
-	arrived bool
-	givenUp bool
-	sent    time.Time
+	// answer passes the result to the sender. It is set once the request has arrived.
+	answer   func()
+	arrived  bool
+	timedOut bool
+	sent     time.Time
 }
 
 type fakeEngine struct {
-	name, domain string
-	capacity     int64
-	enforce      bool
-	down         bool
-	life         int
-	fence        int64
-	resident     map[placement.Item]*fakeResident
-	orders       map[string]Answer
-	// shown is the report of some time ago: reports lag.
-	shown Report
+	name, domain      string
+	capacity          int64
+	enforceFence      bool
+	down              bool
+	incarnationNumber int
+	fence             int64
+	resident          map[placement.Item]*fakeResident
+	answers           map[string]Answer
+	// previousReport is the report as of the previous poll or restart. The next poll
+	// returns it, because reports lag.
+	previousReport Report
 }
 
 type fakeResident struct {
-	memory int64
-	ready  bool
-	until  time.Time
-	order  string
+	memory      int64
+	ready       bool
+	readyAt     time.Time
+	loadOrderID string
 }
 
 const (
-	fuzzLoadTime   = 700 * time.Millisecond
-	fuzzRate       = 3
-	fuzzConcurrent = 2
-	maxLateness    = 20 * time.Second
+	fuzzLoadTime    = 700 * time.Millisecond
+	fuzzRate        = 3
+	fuzzConcurrent  = 2
+	maxRequestDelay = 20 * time.Second
 )
 
-func newWorld(t *rapid.T, planted faults) *world {
-	w := &world{t: t, now: time.Unix(1_000_000, 0), faults: planted, kv: make(map[string]Stored)}
-	w.doc = &document.Document{FailureDomains: []string{"a", "b", "c"}}
+func newSimulation(t *rapid.T, planted faults) *simulation {
+	sim := &simulation{t: t, now: time.Unix(1_000_000, 0), faults: planted, kv: make(map[string]Stored)}
+	sim.doc = &document.Document{FailureDomains: []string{"a", "b", "c"}}
 	for i := range 6 {
 		e := &fakeEngine{
-			name:     fmt.Sprintf("e%d", i),
-			domain:   w.doc.FailureDomains[i%3],
-			capacity: 30,
-			enforce:  i%2 == 0,
+			name:         fmt.Sprintf("e%d", i),
+			domain:       sim.doc.FailureDomains[i%3],
+			capacity:     30,
+			enforceFence: i%2 == 0,
 		}
 		e.restart()
-		w.engines = append(w.engines, e)
-		w.doc.Engines = append(w.doc.Engines, document.Engine{
+		sim.engines = append(sim.engines, e)
+		sim.doc.Engines = append(sim.doc.Engines, document.Engine{
 			Name: e.name, FailureDomain: e.domain, Memory: document.Bytes(e.capacity),
 		})
 	}
@@ -103,19 +105,19 @@
 		for j := range 2 {
 			m.Adapters = append(m.Adapters, document.Adapter{Name: fmt.Sprintf("a%d", j), Version: "v1", Memory: 1})
 		}
-		w.doc.Models = append(w.doc.Models, m)
+		sim.doc.Models = append(sim.doc.Models, m)
 	}
-	return w
+	return sim
 }
 
-func (e *fakeEngine) incarnation() string { return fmt.Sprintf("%s/%d", e.name, e.life) }
+func (e *fakeEngine) incarnation() string { return fmt.Sprintf("%s/%d", e.name, e.incarnationNumber) }
 
 func (e *fakeEngine) restart() {
-	e.life++
+	e.incarnationNumber++
 	e.fence = 0
 	e.resident = make(map[placement.Item]*fakeResident)
-	e.orders = make(map[string]Answer)
-	e.shown = e.report()
+	e.answers = make(map[string]Answer)
+	e.previousReport = e.report()
 }
 
 func (e *fakeEngine) report() Report {
@@ -127,43 +129,43 @@
 	return r
 }
 
-// order carries an order out, once for each ID and incarnation.
-func (e *fakeEngine) order(w *world, o Order) Answer {
-	if known, ok := e.orders[o.ID]; ok {
+// handleOrder executes an order, once for each ID and incarnation.
+func (e *fakeEngine) handleOrder(sim *simulation, o Order) Answer {
+	if known, ok := e.answers[o.ID]; ok {
 		return known
 	}
-	if o.Fence < e.fence && e.enforce {
-		e.orders[o.ID] = Refused
+	if o.Fence < e.fence && e.enforceFence {
+		e.answers[o.ID] = Refused
 		return Refused
 	}
 	e.fence = max(e.fence, o.Fence)
-	w.note("%s %s kind %d %v", e.name, o.ID, o.Kind, o.Item)
-	e.orders[o.ID] = e.execute(w, o)
-	return e.orders[o.ID]
+	sim.logf("%s %s kind %d %v", e.name, o.ID, o.Kind, o.Item)
+	e.answers[o.ID] = e.execute(sim, o)
+	return e.answers[o.ID]
 }
 
-func (e *fakeEngine) execute(w *world, o Order) Answer {
+func (e *fakeEngine) execute(sim *simulation, o Order) Answer {
 	held, holds := e.resident[o.Item]
 	switch {
 	case o.Kind == Unload && !holds:
 		return Done
-	case o.Kind == Unload && o.Item.IsBase() && !e.spareBase(o.Item):
+	case o.Kind == Unload && o.Item.IsBase() && !e.canUnloadBase(o.Item):
 		return Failed
 	case o.Kind == Unload:
-		if held.order != "" {
-			e.orders[held.order] = Failed
+		if held.loadOrderID != "" {
+			e.answers[held.loadOrderID] = Failed
 		}
 		delete(e.resident, o.Item)
-		w.unloads++
+		sim.unloads++
 		return Done
 	case holds && held.ready:
 		return Done
 	case holds || (!o.Item.IsBase() && !e.hasBase(o.Item.Model)):
 		return Failed
 	}
-	w.starts = append(w.starts, w.now)
-	w.loads++
-	e.resident[o.Item] = &fakeResident{memory: o.Memory, until: w.now.Add(fuzzLoadTime), order: o.ID}
+	sim.starts = append(sim.starts, sim.now)
+	sim.loads++
+	e.resident[o.Item] = &fakeResident{memory: o.Memory, readyAt: sim.now.Add(fuzzLoadTime), loadOrderID: o.ID}
 	return Running
 }
 
@@ -176,8 +178,8 @@
 	return false
 }
 
-// spareBase says whether no adapter needs this version of its base model.
-func (e *fakeEngine) spareBase(base placement.Item) bool {
+// canUnloadBase reports whether no adapter needs this version of its base model.
+func (e *fakeEngine) canUnloadBase(base placement.Item) bool {
 	for item, held := range e.resident {
 		if item.Model == base.Model && item.IsBase() && item != base && held.ready {
 			return true
@@ -191,56 +193,59 @@
 	return true
 }
 
-// advance lets time pass: loads end, leaders look up.
-func (w *world) advance(d time.Duration) {
-	w.now = w.now.Add(d)
-	for _, e := range w.engines {
+// advance advances the time: loads complete, and timed-out requests that are older than
+// maxRequestDelay are dropped.
+func (sim *simulation) advance(d time.Duration) {
+	sim.now = sim.now.Add(d)
+	for _, e := range sim.engines {
 		for _, held := range e.resident {
-			if !held.ready && !w.now.Before(held.until) {
+			if !held.ready && !sim.now.Before(held.readyAt) {
 				held.ready = true
-				e.orders[held.order] = Done
-				held.order = ""
+				e.answers[held.loadOrderID] = Done
+				held.loadOrderID = ""
 			}
 		}
 	}
-	kept := w.flying[:0]
-	for _, f := range w.flying {
-		if !f.givenUp || w.now.Sub(f.sent) < maxLateness {
-			kept = append(kept, f)
+	kept := sim.inFlight[:0]
+	for _, m := range sim.inFlight {
+		if !m.timedOut || sim.now.Sub(m.sent) < maxRequestDelay {
+			kept = append(kept, m)
 		}
 	}
-	w.flying = kept
+	sim.inFlight = kept
 }
 
-// elect starts a leader; the one before does not learn of it.
-func (w *world) elect() {
-	w.rev++
+// elect starts a new leader without notifying the previous one.
+func (sim *simulation) elect() {
+	sim.revision++
 	b := NewBook(Options{
-		Prefix: "/p/", Fence: w.rev, LoadsPerSecond: fuzzRate, ConcurrentLoads: fuzzConcurrent,
+		Prefix: "/p/", Fence: sim.revision, LoadsPerSecond: fuzzRate, ConcurrentLoads: fuzzConcurrent,
 		LoadTimeout: time.Minute, MissingAfter: 8 * time.Second, RemovalGrace: time.Second,
 	})
-	b.faults = w.faults
-	w.leaders = append(w.leaders, &leader{book: b})
+	b.faults = sim.faults
+	sim.leaders = append(sim.leaders, &leader{book: b})
 }
 
-// step lets a leader plan and act.
-func (w *world) step(l *leader) {
-	if l.paused || l.gone {
+// step makes a leader plan and puts its actions in flight.
+func (sim *simulation) step(l *leader) {
+	if l.paused || l.deposed {
 		return
 	}
 	if l.book.Deposed() {
-		l.gone = true
+		l.deposed = true
 		return
 	}
-	w.plan(l)
-	for _, a := range l.book.Next(w.now) {
-		w.flying = append(w.flying, &flight{from: l, action: a, sent: w.now})
+	sim.plan(l)
+	for _, a := range l.book.Next(sim.now) {
+		sim.inFlight = append(sim.inFlight, &message{sender: l, action: a, sent: sim.now})
 	}
 }
 
-func (w *world) plan(l *leader) {
+// plan sets a leader's goal from the document, and makes a new plan if the last one is 500
+// ms old.
+func (sim *simulation) plan(l *leader) {
 	goal := Goal{Versions: make(map[placement.Name]string), Memory: make(map[placement.Item]int64)}
-	for _, m := range w.doc.Models {
+	for _, m := range sim.doc.Models {
 		base := placement.Item{Model: m.Name, Version: m.Version}
 		goal.Versions[base.Name()] = m.Version
 		goal.Memory[base] = int64(m.Memory)
@@ -250,96 +255,97 @@
 			goal.Memory[item] = int64(a.Memory)
 		}
 	}
-	for _, e := range w.engines {
+	for _, e := range sim.engines {
 		goal.Engines = append(goal.Engines, EngineSpec{Name: e.name, FailureDomain: e.domain, Capacity: e.capacity})
 	}
-	if l.planned.IsZero() {
-		l.planned = w.now
+	if l.plannedAt.IsZero() {
+		l.plannedAt = sim.now
 		l.book.SetGoal(goal)
 		return
 	}
-	if w.now.Sub(l.planned) < 500*time.Millisecond || !l.book.Surveyed(w.now) {
+	if sim.now.Sub(l.plannedAt) < 500*time.Millisecond || !l.book.Surveyed(sim.now) {
 		return
 	}
-	l.planned = w.now
-	view := l.book.View(w.now)
-	goal.SetPlan(placement.Make(placement.Input{Models: w.doc.Models, Engines: view, Quiet: l.book.Quiet(w.now)}), view)
+	l.plannedAt = sim.now
+	view := l.book.View(sim.now)
+	goal.SetPlan(placement.Make(placement.Input{Models: sim.doc.Models, Engines: view, Quiet: l.book.Quiet(sim.now)}), view)
 	l.book.SetGoal(goal)
 }
 
-// arrive carries a request out at its destination.
-func (w *world) arrive(f *flight) {
-	f.arrived = true
-	switch a := f.action.(type) {
+// handleRequest executes a request at its destination.
+func (sim *simulation) handleRequest(m *message) {
+	m.arrived = true
+	switch a := m.action.(type) {
 	case Read:
-		s, ok := w.kv[a.Key], !w.outage
-		f.answer = func() { f.from.book.ReadDone(a.Key, s, ok) }
+		s, ok := sim.kv[a.Key], !sim.outage
+		m.answer = func() { m.sender.book.ReadDone(a.Key, s, ok) }
 	case Write:
-		f.answer = w.arriveWrite(f, a)
+		m.answer = sim.handleWrite(m, a)
 	case Poll:
-		e := w.engine(a.Engine)
-		r, ok := e.shown, !e.down
-		e.shown = e.report()
-		f.answer = func() { f.from.book.Reported(a, r, ok, w.now) }
+		e := sim.engine(a.Engine)
+		r, ok := e.previousReport, !e.down
+		e.previousReport = e.report()
+		m.answer = func() { m.sender.book.Reported(a, r, ok, sim.now) }
 	case Send:
-		f.answer = w.arriveSend(f, a)
+		m.answer = sim.handleSend(m, a)
 	}
 }
 
-func (w *world) arriveWrite(f *flight, a Write) func() {
-	if w.outage {
-		return func() { f.from.book.Written(a.Key, OutcomeUnknown, 0, nil) }
+func (sim *simulation) handleWrite(m *message, a Write) func() {
+	if sim.outage {
+		return func() { m.sender.book.Written(a.Key, OutcomeUnknown, 0, nil) }
 	}
-	current := w.kv[a.Key]
+	current := sim.kv[a.Key]
 	if current.Revision != a.Expected {
-		return func() { f.from.book.Written(a.Key, DidNot, 0, &current) }
+		return func() { m.sender.book.Written(a.Key, DidNot, 0, &current) }
 	}
-	w.rev++
-	w.kv[a.Key] = Stored{Revision: w.rev, Value: a.Value}
-	rev := w.rev
-	return func() { f.from.book.Written(a.Key, TookEffect, rev, nil) }
+	sim.revision++
+	sim.kv[a.Key] = Stored{Revision: sim.revision, Value: a.Value}
+	rev := sim.revision
+	return func() { m.sender.book.Written(a.Key, TookEffect, rev, nil) }
 }
 
-func (w *world) arriveSend(f *flight, a Send) func() {
-	e := w.engine(a.Engine)
-	bound := e.incarnation() == a.Incarnation || w.faults.anyIncarnation
-	if e.down || !bound {
-		return func() { f.from.book.Unanswered(a, w.now) }
+func (sim *simulation) handleSend(m *message, a Send) func() {
+	e := sim.engine(a.Engine)
+	accepted := e.incarnation() == a.Incarnation || sim.faults.anyIncarnation
+	if e.down || !accepted {
+		return func() { m.sender.book.Unanswered(a, sim.now) }
 	}
-	answer := e.order(w, a.Order)
-	return func() { f.from.book.Answered(a, answer, w.now) }
+	answer := e.handleOrder(sim, a.Order)
+	return func() { m.sender.book.Answered(a, answer, sim.now) }
 }
 
-// giveUp tells the sender that no answer came. The request may still arrive.
-func (w *world) giveUp(f *flight) {
-	if f.givenUp {
+// timeOut reports to the sender that no answer was received. The request may still arrive.
+func (sim *simulation) timeOut(m *message) {
+	if m.timedOut {
 		return
 	}
-	f.givenUp = true
-	switch a := f.action.(type) {
+	m.timedOut = true
+	switch a := m.action.(type) {
 	case Read:
-		f.from.book.ReadDone(a.Key, Stored{}, false)
+		m.sender.book.ReadDone(a.Key, Stored{}, false)
 	case Write:
-		f.from.book.Written(a.Key, OutcomeUnknown, 0, nil)
+		m.sender.book.Written(a.Key, OutcomeUnknown, 0, nil)
 	case Poll:
-		f.from.book.Reported(a, Report{}, false, w.now)
+		m.sender.book.Reported(a, Report{}, false, sim.now)
 	case Send:
-		f.from.book.Unanswered(a, w.now)
+		m.sender.book.Unanswered(a, sim.now)
 	}
 }
 
-// deliver hands an answer to a sender that still waits for it.
-func (w *world) deliver(f *flight) {
-	w.flying = slices.DeleteFunc(w.flying, func(g *flight) bool { return g == f })
-	if !f.givenUp {
-		f.answer()
+// deliverAnswer removes a message, and passes its answer to the sender unless the sender
+// has timed out.
+func (sim *simulation) deliverAnswer(m *message) {
+	sim.inFlight = slices.DeleteFunc(sim.inFlight, func(other *message) bool { return other == m })
+	if !m.timedOut {
+		m.answer()
 	}
 }
 
-func (w *world) engine(name string) *fakeEngine {
-	return w.engines[slices.IndexFunc(w.engines, func(e *fakeEngine) bool { return e.name == name })]
+func (sim *simulation) engine(name string) *fakeEngine {
+	return sim.engines[slices.IndexFunc(sim.engines, func(e *fakeEngine) bool { return e.name == name })]
 }
 
-func (w *world) note(f string, a ...any) {
-	w.log = append(w.log, w.now.Format("15:04:05.000 ")+fmt.Sprintf(f, a...))
+func (sim *simulation) logf(f string, a ...any) {
+	sim.log = append(sim.log, sim.now.Format("15:04:05.000 ")+fmt.Sprintf(f, a...))
 }
