--- a/internal/vm/follow_test.go
+++ b/internal/vm/follow_test.go
@@ -103,7 +103,7 @@
 				value := bytes.Repeat([]byte(fmt.Sprint(revision)), rapid.SampledFrom([]int{1, 1, 1, 1, 1, patch.MinBytes}).Draw(t, "size"))
 				items[key] = store.Item{Key: key, Value: value, Revision: revision}
 			}
-			hub.replaceView(items, revision)
+			hub.replaceViewByKey(items, revision)
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
 				in = &peerpb.FollowRequest{Incarnation: 1, Change: 3}
 			}
@@ -218,7 +218,7 @@
 // view must not go back: a replica that left would get requests again.
 func TestHubThatLagsBehindUndoesNothing(t *testing.T) {
 	f, now := testTracker(), time.Now()
-	f.replaceView(map[string]store.Item{"a": {Key: "a", Revision: 9}}, 9)
+	f.replaceViewByKey(map[string]store.Item{"a": {Key: "a", Revision: 9}}, 9)
 	behind := &peerpb.FollowResponse{Revision: 8, Whole: true, FailedMs: -1}
 	applied, err := f.applyHubView(behind, now)
 	require.NoError(t, err)
@@ -249,8 +249,8 @@
 	return newTracker(nil, zerolog.Nop(), func(view) {}, func() int { return 60 }, 3*time.Second, relay{})
 }
 
-// replaceView replaces the items of the view.
-func (t *tracker) replaceView(items map[string]store.Item, revision int64) {
+// replaceViewByKey replaces the items of the view.
+func (t *tracker) replaceViewByKey(items map[string]store.Item, revision int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	next := make(map[string]store.Item, len(items))
