--- a/internal/aggregate/counters.go
+++ b/internal/aggregate/counters.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// Take records the totals that a VM has counted since the start of its incarnation. Names
+// Record records the totals that a VM has counted since the start of its incarnation. Names
 // that are missing have not changed.
-func (c *Counters[V]) Take(vm string, incarnation int64, sameDomain bool, totals map[string]V, now time.Time) {
+func (c *Counters[V]) Record(vm string, incarnation int64, sameDomain bool, totals map[string]V, now time.Time) {
 	s := c.sources[vm]
 	if s == nil {
 		s = &source[V]{sameDomain: sameDomain, contribution: make(map[string]V)}
--- a/internal/aggregate/counters_test.go
+++ b/internal/aggregate/counters_test.go
@@ -30,11 +30,11 @@
 // or the other VMs would admit the same tokens twice.
 func TestSumsContinueAfterVMRestart(t *testing.T) {
 	c := newTestCounters(100)
-	c.Take("a", 200, true, map[string]Count{"x": 5}, testTime)
-	c.Take("b", 201, false, nil, testTime)
-	c.Take("b", 201, false, map[string]Count{"x": 7, "y": 1}, testTime)
+	c.Record("a", 200, true, map[string]Count{"x": 5}, testTime)
+	c.Record("b", 201, false, nil, testTime)
+	c.Record("b", 201, false, map[string]Count{"x": 7, "y": 1}, testTime)
 	require.Equal(t, map[string]Count{"x": 13, "y": 1}, sumsWithOwn(c, map[string]Count{"x": 1}, false, ""))
-	c.Take("a", 300, true, map[string]Count{"x": 2}, testTime)
+	c.Record("a", 300, true, map[string]Count{"x": 2}, testTime)
 	require.Equal(t, Count(15.0), sumsWithOwn(c, map[string]Count{"x": 1}, false, "")["x"])
 	require.Equal(t, Count(8.0), sumsWithOwn(c, map[string]Count{"x": 1}, true, "")["x"])
 	require.Equal(t, Count(8.0), sumsWithOwn(c, map[string]Count{"x": 1}, false, "b")["x"])
@@ -44,16 +44,16 @@
 // Forwarding their complete totals would empty every team's bucket at once.
 func TestNewHubDoesNotForwardEarlierTotals(t *testing.T) {
 	c := newTestCounters(1000)
-	c.Take("old", 10, true, map[string]Count{"x": 1e9}, testTime)
+	c.Record("old", 10, true, map[string]Count{"x": 1e9}, testTime)
 	require.Zero(t, sumsWithOwn(c, nil, false, "")["x"])
-	c.Take("old", 10, true, map[string]Count{"x": 1e9 + 3}, testTime)
+	c.Record("old", 10, true, map[string]Count{"x": 1e9 + 3}, testTime)
 	require.Equal(t, Count(3.0), sumsWithOwn(c, nil, false, "")["x"])
 }
 
 func TestOmittedNamesAreUnchanged(t *testing.T) {
 	c := newTestCounters(1)
-	c.Take("a", 2, true, map[string]Count{"x": 1, "y": 1}, testTime)
-	c.Take("a", 2, true, map[string]Count{"x": 2}, testTime)
+	c.Record("a", 2, true, map[string]Count{"x": 1, "y": 1}, testTime)
+	c.Record("a", 2, true, map[string]Count{"x": 2}, testTime)
 	require.Equal(t, map[string]Count{"x": 2, "y": 1}, sumsWithOwn(c, nil, false, ""))
 }
 
@@ -61,9 +61,9 @@
 // the counts of that time; adding them twice would put every team into debt.
 func TestCountsReportedToAnotherHubAreNotAddedTwice(t *testing.T) {
 	c := newTestCounters(1)
-	c.Take("a", 2, true, map[string]Count{"x": 10}, testTime)
-	c.Take("a", 2, true, map[string]Count{"x": 500}, testTime.Add(5*time.Second))
-	c.Take("a", 2, true, map[string]Count{"x": 501}, testTime.Add(5250*time.Millisecond))
+	c.Record("a", 2, true, map[string]Count{"x": 10}, testTime)
+	c.Record("a", 2, true, map[string]Count{"x": 500}, testTime.Add(5*time.Second))
+	c.Record("a", 2, true, map[string]Count{"x": 501}, testTime.Add(5250*time.Millisecond))
 	require.Equal(t, Count(11.0), sumsWithOwn(c, nil, false, "")["x"])
 }
 
@@ -72,10 +72,10 @@
 func TestOwnScopeDoesNotSubtractReceiverCounts(t *testing.T) {
 	c := newTestCounters(1)
 	c.SetOwn(map[string]Count{"x": 3})
-	c.Take("hub", 2, true, map[string]Count{"x": 1}, testTime)
-	c.Take("hub", 2, true, map[string]Count{"x": 5}, testTime)
-	c.Take("far", 2, false, nil, testTime)
-	c.Take("far", 2, false, map[string]Count{"x": 7}, testTime)
+	c.Record("hub", 2, true, map[string]Count{"x": 1}, testTime)
+	c.Record("hub", 2, true, map[string]Count{"x": 5}, testTime)
+	c.Record("far", 2, false, nil, testTime)
+	c.Record("far", 2, false, map[string]Count{"x": 7}, testTime)
 	require.Equal(t, map[string]Count{"x": 3}, c.Since(topology.ScopeOwn, 0, "hub"))
 	require.Equal(t, map[string]Count{"x": 8}, c.Since(topology.ScopeDomain, 0, "far"))
 	require.Equal(t, map[string]Count{"x": 10}, c.Since(topology.ScopeAll, 0, "hub"))
@@ -89,7 +89,7 @@
 	c.SetOwn(map[string]Count{"x": 3, "y": 4})
 	acknowledged := version.Number()
 	require.Empty(t, c.Since(topology.ScopeAll, acknowledged, ""))
-	c.Take("a", 2, true, map[string]Count{"y": 1}, testTime)
+	c.Record("a", 2, true, map[string]Count{"y": 1}, testTime)
 	require.Equal(t, map[string]Count{"y": 5}, c.Since(topology.ScopeAll, acknowledged, ""))
 	require.Empty(t, c.Since(topology.ScopeOwn, acknowledged, ""))
 	require.Equal(t, map[string]Count{"x": 3, "y": 5}, c.Since(topology.ScopeAll, 0, ""))
--- a/internal/aggregate/levels.go
+++ b/internal/aggregate/levels.go
@@ -55,10 +55,10 @@
 	held[name] = v
 }
 
-// Take records a VM's levels: all of them if complete, else those that have changed. It
+// Record records a VM's levels: all of them if complete, else those that have changed. It
 // returns false if only changes are given and the VM has no levels here, because it is new
 // or has not reported for longer than the lifetime.
-func (l *Levels[V]) Take(vm string, sameDomain, complete bool, changed map[string]V, now time.Time) bool {
+func (l *Levels[V]) Record(vm string, sameDomain, complete bool, changed map[string]V, now time.Time) bool {
 	l.expire(now)
 	s := l.sources[vm]
 	if s == nil && !complete {
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// Known reports whether all changes since a version number are kept.
-func (l *Levels[V]) Known(number uint64) bool { return number >= l.sums.prunedUpTo }
+// RetainsChangesSince reports whether all changes since a version number are kept.
+func (l *Levels[V]) RetainsChangesSince(number uint64) bool { return number >= l.sums.prunedUpTo }
 
 // Since returns the sums of a scope that have changed since a version number, without the
 // levels of one VM. With number 0 it returns all sums that are not zero.
--- a/internal/aggregate/levels_test.go
+++ b/internal/aggregate/levels_test.go
@@ -16,11 +16,11 @@
 	version := &Version{}
 	l := NewLevels[Count](time.Second, version)
 	l.SetOwn(map[string]Count{"e1": 1})
-	require.True(t, l.Take("a", true, true, map[string]Count{"e1": 2, "e2": 3}, testTime))
+	require.True(t, l.Record("a", true, true, map[string]Count{"e1": 2, "e2": 3}, testTime))
 	require.Equal(t, map[string]Count{"e1": 3, "e2": 3}, l.Since(topology.ScopeAll, 0, "", testTime))
 	acknowledged := version.Number()
 	l.SetOwn(nil)
-	require.True(t, l.Take("a", true, false, map[string]Count{"e2": 0}, testTime))
+	require.True(t, l.Record("a", true, false, map[string]Count{"e2": 0}, testTime))
 	require.Equal(t, map[string]Count{"e1": 2, "e2": 0}, l.Since(topology.ScopeAll, acknowledged, "", testTime))
 	require.Equal(t, map[string]Count{"e1": 2}, l.Since(topology.ScopeAll, 0, "", testTime))
 	require.Equal(t, map[string]Count{"e1": 2}, l.Of("a"))
@@ -31,12 +31,12 @@
 func TestLevelsOfASilentVMExpire(t *testing.T) {
 	version := &Version{}
 	l := NewLevels[Count](time.Second, version)
-	l.Take("a", false, true, map[string]Count{"e1": 2}, testTime)
+	l.Record("a", false, true, map[string]Count{"e1": 2}, testTime)
 	acknowledged := version.Number()
 	later := testTime.Add(1100 * time.Millisecond)
 	require.Equal(t, map[string]Count{"e1": 0}, l.Since(topology.ScopeAll, acknowledged, "", later))
-	require.False(t, l.Take("a", false, false, map[string]Count{"e2": 1}, later))
-	require.True(t, l.Take("a", false, true, map[string]Count{"e2": 1}, later))
+	require.False(t, l.Record("a", false, false, map[string]Count{"e2": 1}, later))
+	require.True(t, l.Record("a", false, true, map[string]Count{"e2": 1}, later))
 	require.Equal(t, map[string]Count{"e2": 1}, l.Since(topology.ScopeAll, 0, "", later))
 }
 
@@ -51,6 +51,6 @@
 		l.SetOwn(map[string]Count{fmt.Sprint("e", i): 1})
 	}
 	require.Less(t, len(l.sums.cells[topology.ScopeAll]), 3*maxZeroNames)
-	require.False(t, l.Known(acknowledged))
-	require.True(t, l.Known(version.Number()))
+	require.False(t, l.RetainsChangesSince(acknowledged))
+	require.True(t, l.RetainsChangesSince(version.Number()))
 }
--- a/internal/assign/assigner.go
+++ b/internal/assign/assigner.go
@@ -93,7 +93,7 @@
 	next := make(map[string]*node, len(instances))
 	for _, i := range instances {
 		old := s.nodes[i.ID]
-		if old != nil && old.instance.Same(&i) {
+		if old != nil && old.instance.SameIncarnation(&i) {
 			old.update(i)
 			next[i.ID] = old
 			continue
@@ -140,9 +140,9 @@
 	}
 }
 
-// TurnedAway records that an engine rejected a request for a model that it was expected to
+// RecordRejection records that an engine rejected a request for a model that it was expected to
 // hold: the engine is full, or it is about to unload the model.
-func (s *Assigner) TurnedAway(instance, model string, now time.Time) {
+func (s *Assigner) RecordRejection(instance, model string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n := s.nodes[instance]; n != nil {
@@ -177,8 +177,8 @@
 	return maps.Clone(s.demand)
 }
 
-// Offered adds a request to the demand for its item.
-func (s *Assigner) Offered(service, model, adapter string, promptTokens, outputTokens int) {
+// RecordDemand adds a request to the demand for its item.
+func (s *Assigner) RecordDemand(service, model, adapter string, promptTokens, outputTokens int) {
 	if model == "" {
 		return
 	}
@@ -198,17 +198,17 @@
 	s.demand[item] = d
 }
 
-// Parts returns the prefixes of a prompt for one item, each with the hash of all IDs up to
+// Prefixes returns the prefixes of a prompt for one item, each with the hash of all IDs up to
 // its end.
-func Parts(model, adapter string, ids []string, tokens []int) []Part {
+func Prefixes(model, adapter string, ids []string, tokens []int) []Prefix {
 	h := xxhash.New()
 	_, _ = h.WriteString(itemName(model, adapter))
-	out := make([]Part, 0, len(ids))
+	out := make([]Prefix, 0, len(ids))
 	sum := 0
 	for i, id := range ids {
 		_, _ = h.WriteString("\x00" + id)
 		sum += tokens[i]
-		out = append(out, Part{Hash: h.Sum64(), Tokens: sum})
+		out = append(out, Prefix{Hash: h.Sum64(), Tokens: sum})
 	}
 	return out
 }
--- a/internal/assign/assigner_test.go
+++ b/internal/assign/assigner_test.go
@@ -21,7 +21,7 @@
 
 func testInstance(service, id string, adapters ...string) upstream.Instance {
 	return upstream.Instance{
-		ID: id, Service: service, Address: id, Slots: 6, Models: []upstream.Loaded{{Model: "m", Adapters: adapters}},
+		ID: id, Service: service, Address: id, Slots: 6, Models: []upstream.LoadedModel{{Model: "m", Adapters: adapters}},
 	}
 }
 
@@ -37,11 +37,11 @@
 }
 
 // draftRequest has a prompt of 9,190 tokens that shares its prefix with others of its kind.
-func draftRequest(kind, unique int, now time.Time) Ask {
-	parts := Parts("m", "", []string{"system", fmt.Sprint("kind", kind), fmt.Sprint("own", unique)}, []int{2520, 3780, 2890})
-	return Ask{
-		Service: "engines", Model: "m", Parts: parts, PromptTokens: 9190, OutputTokens: 60,
-		Start: now.Add(800 * time.Millisecond), Deadline: now.Add(6 * time.Second), Urgency: 1,
+func draftRequest(kind, unique int, now time.Time) Request {
+	parts := Prefixes("m", "", []string{"system", fmt.Sprint("kind", kind), fmt.Sprint("own", unique)}, []int{2520, 3780, 2890})
+	return Request{
+		Service: "engines", Model: "m", Prefixes: parts, PromptTokens: 9190, OutputTokens: 60,
+		StartBy: now.Add(800 * time.Millisecond), Deadline: now.Add(6 * time.Second), Urgency: 1,
 	}
 }
 
@@ -106,7 +106,7 @@
 // an answer. After a while it must get no more requests, long before its entry is gone.
 func TestUnresponsiveUpstreamGetsNoRequests(t *testing.T) {
 	s, now := testAssigner("clerks", 3), time.Now()
-	req := Ask{Service: "clerks", Start: now.Add(100 * time.Millisecond), Deadline: now.Add(time.Second)}
+	req := Request{Service: "clerks", StartBy: now.Add(100 * time.Millisecond), Deadline: now.Add(time.Second)}
 	var stuck *Choice
 	for stuck == nil {
 		c, err := s.Choose(req, now)
@@ -117,11 +117,11 @@
 		}
 		s.Started(c, now)
 		s.Finish(c, Succeeded, now)
-		req.Start = req.Start.Add(time.Microsecond)
+		req.StartBy = req.StartBy.Add(time.Microsecond)
 	}
 	now = now.Add(plainSilenceLimit + time.Millisecond)
 	for i := range 50 {
-		req.Start = now.Add(time.Duration(i) * time.Microsecond)
+		req.StartBy = now.Add(time.Duration(i) * time.Microsecond)
 		c, err := s.Choose(req, now)
 		require.NoError(t, err)
 		require.NotEqual(t, "i-1", c.Instance)
@@ -137,7 +137,7 @@
 	failed := 0
 	for i := range 400 {
 		at := now.Add(time.Duration(i) * 20 * time.Millisecond)
-		c, err := s.Choose(Ask{Service: "clerks", Start: at.Add(time.Second), Deadline: at.Add(time.Second)}, at)
+		c, err := s.Choose(Request{Service: "clerks", StartBy: at.Add(time.Second), Deadline: at.Add(time.Second)}, at)
 		require.NoError(t, err)
 		s.Started(c, at)
 		if c.Instance == "i-0" {
@@ -155,7 +155,7 @@
 func TestLastUpstreamIsTriedAllTheSame(t *testing.T) {
 	s, now := testAssigner("clerks", 1), time.Now()
 	for range 10 {
-		c, err := s.Choose(Ask{Service: "clerks", Start: now, Deadline: now.Add(time.Second)}, now)
+		c, err := s.Choose(Request{Service: "clerks", StartBy: now, Deadline: now.Add(time.Second)}, now)
 		require.NoError(t, err)
 		s.Finish(c, Failed, now)
 	}
@@ -194,7 +194,7 @@
 		i.OrdersAccepted = orders
 		i.Models = nil
 		for _, m := range models {
-			i.Models = append(i.Models, upstream.Loaded{Model: m})
+			i.Models = append(i.Models, upstream.LoadedModel{Model: m})
 		}
 		s.SetInstances([]upstream.Instance{i})
 	}
@@ -218,11 +218,11 @@
 	c, err := s.Choose(draftRequest(1, 1, now), now)
 	require.NoError(t, err)
 	s.Finish(c, Neutral, now)
-	s.TurnedAway(c.Instance, "m", now)
+	s.RecordRejection(c.Instance, "m", now)
 	next, err := s.Choose(draftRequest(1, 1, now), now)
 	require.NoError(t, err)
 	require.NotEqual(t, c.Instance, next.Instance)
-	s.TurnedAway(next.Instance, "m", now)
+	s.RecordRejection(next.Instance, "m", now)
 	_, err = s.Choose(draftRequest(1, 1, now), now)
 	require.ErrorIs(t, err, ErrOverloaded, "while both engines are in backoff the request must be refused, not sent")
 	later := now.Add(rejectionBackoff)
@@ -251,18 +251,18 @@
 		if i%3 == 2 {
 			busy = nil
 		}
-		s.SetOthers("b", busy, now)
+		s.SetPeerLoads("b", busy, now)
 		now = now.Add(250 * time.Millisecond)
 	}
 	for own := range 3 {
 		req := draftRequest(own, own, now)
-		req.Parts, req.PromptTokens = nil, 600
+		req.Prefixes, req.PromptTokens = nil, 600
 		c, err := s.Choose(req, now)
 		require.NoError(t, err)
 		require.Equal(t, "i-1", c.Instance)
 	}
 	for range 40 {
-		s.SetOthers("b", nil, now)
+		s.SetPeerLoads("b", nil, now)
 		now = now.Add(250 * time.Millisecond)
 	}
 	require.Zero(t, s.Totals(now)["i-0"].PrefillTokens, "the other VM reports no work any more")
@@ -281,9 +281,9 @@
 		for i := range 15 {
 			busy[fmt.Sprint("i-", i)] = Load{Requests: 1, PrefillTokens: 500}
 		}
-		s.SetOthers("hub", busy, now)
+		s.SetPeerLoads("hub", busy, now)
 		req := draftRequest(vm, vm, now)
-		req.Parts = Parts("m", "", []string{fmt.Sprint("own", vm)}, []int{600})
+		req.Prefixes = Prefixes("m", "", []string{fmt.Sprint("own", vm)}, []int{600})
 		req.PromptTokens = 600
 		c, err := s.Choose(req, now)
 		require.NoError(t, err)
@@ -308,7 +308,7 @@
 		var refused *Refused
 		require.ErrorAs(t, err, &refused)
 		require.ErrorIs(t, err, ErrNotLoaded)
-		require.Equal(t, waits, refused.Wait, model)
+		require.Equal(t, waits, refused.Holdable, model)
 	}
 }
 
--- a/internal/assign/choose.go
+++ b/internal/assign/choose.go
@@ -37,7 +37,7 @@
 )
 
 // Choose reserves a place at an upstream for a request. The error is always a *Refused.
-func (s *Assigner) Choose(req Ask, now time.Time) (*Choice, error) {
+func (s *Assigner) Choose(req Request, now time.Time) (*Choice, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if req.Model == "" {
@@ -48,7 +48,7 @@
 
 // choosePlain chooses the instance with the least work for its speed, for a service without
 // engines.
-func (s *Assigner) choosePlain(req Ask, now time.Time) (*Choice, error) {
+func (s *Assigner) choosePlain(req Request, now time.Time) (*Choice, error) {
 	var best *node
 	bestCost := 0.0
 	for _, n := range s.nodes {
@@ -76,16 +76,16 @@
 // that is taken, and ranks slow and failing ones lower. The jitter depends on the request,
 // so that VMs that do not know each other's latest choices do not all choose the same
 // instance.
-func plainCost(n *node, now time.Time, req Ask) float64 {
+func plainCost(n *node, now time.Time, req Request) float64 {
 	l := n.total(now, 0)
 	slots := float64(max(1, n.instance.Slots))
-	jitter := float64(xxhash.Sum64String(n.instance.ID+req.Start.String())%1024) / 1024 * 0.3
+	jitter := float64(xxhash.Sum64String(n.instance.ID+req.StartBy.String())%1024) / 1024 * 0.3
 	return (float64(l.requests)+0.5+jitter)/slots*n.slowness + 2*n.failures
 }
 
 // lastResort returns an ejected instance if no other can be chosen: a try may succeed, a
 // refusal cannot. It returns nil if there is none or it is unresponsive.
-func (s *Assigner) lastResort(req Ask, now time.Time) *node {
+func (s *Assigner) lastResort(req Request, now time.Time) *node {
 	var best *node
 	for _, n := range s.nodes {
 		if n.instance.Service != req.Service || n.instance.Draining || req.Avoid[n.instance.ID] {
@@ -104,13 +104,13 @@
 	return best
 }
 
-func (s *Assigner) chooseEngine(req Ask, now time.Time) (*Choice, error) {
+func (s *Assigner) chooseEngine(req Request, now time.Time) (*Choice, error) {
 	candidates, err := s.candidates(req, now)
 	if err != nil {
 		loadable := (err == ErrNotLoaded || err == ErrAdapterNotLoaded) && s.canLoad(req)
-		return nil, &Refused{Cause: err, RetryAfter: retryAfter(now, req, loadTimeFor(err)), Wait: loadable}
+		return nil, &Refused{Cause: err, RetryAfter: retryAfter(now, req, loadTimeFor(err)), Holdable: loadable}
 	}
-	perToken, due := s.speedOf(req.Model).prefillPerToken, req.Start.Sub(now)
+	perToken, due := s.speedOf(req.Model).prefillPerToken, req.StartBy.Sub(now)
 	preferred := preferredEngine(candidates, req)
 	best := s.cheapest(s.sample(candidates, preferred, req), preferred, req, perToken, now)
 	if best == nil || best.start > due {
@@ -118,7 +118,7 @@
 	}
 	if best == nil {
 		cause := s.rejectionCause(candidates, preferred, req, perToken, now)
-		return nil, &Refused{Cause: cause, RetryAfter: retryAfter(now, req, 500*time.Millisecond), Wait: true}
+		return nil, &Refused{Cause: cause, RetryAfter: retryAfter(now, req, 500*time.Millisecond), Holdable: true}
 	}
 	if best.start <= due {
 		return s.place(best.node, req, best.uncached, best.start, now), nil
@@ -131,28 +131,28 @@
 		return c, nil
 	}
 	return nil, &Refused{
-		Cause: ErrOverloaded, RetryAfter: retryAfter(now, req, best.start-max(due, 0)), Wait: best.start < remaining, Best: best.start,
+		Cause: ErrOverloaded, RetryAfter: retryAfter(now, req, best.start-max(due, 0)), Holdable: best.start < remaining, EarliestStart: best.start,
 	}
 }
 
 // rejectionCause returns why no engine can take the request: all are full, or one has a
 // place but its streams would stall.
-func (s *Assigner) rejectionCause(engines []*node, preferred *node, req Ask, perToken time.Duration, now time.Time) error {
+func (s *Assigner) rejectionCause(engines []*node, preferred *node, req Request, perToken time.Duration, now time.Time) error {
 	for _, n := range engines {
 		if s.hasPlace(n, req, s.uncached(n, req, n == preferred, now), n.total(now, perToken), now) {
-			return ErrPaced
+			return ErrPrefillPaced
 		}
 	}
 	return ErrOverloaded
 }
 
 // hasPlace reports whether an engine with the load l can take a request.
-func (s *Assigner) hasPlace(n *node, req Ask, uncached int, l load, now time.Time) bool {
+func (s *Assigner) hasPlace(n *node, req Request, uncached int, l load, now time.Time) bool {
 	return !now.Before(n.backoffUntil[req.Model]) && !s.full(l, req, uncached)
 }
 
 // canLoad reports whether engines of the service can load the request's model at all.
-func (s *Assigner) canLoad(req Ask) bool {
+func (s *Assigner) canLoad(req Request) bool {
 	spec := s.spec(req.Service)
 	if spec == nil {
 		return false
@@ -162,7 +162,7 @@
 }
 
 // candidates returns the engines that hold the item and accept requests.
-func (s *Assigner) candidates(req Ask, now time.Time) ([]*node, error) {
+func (s *Assigner) candidates(req Request, now time.Time) ([]*node, error) {
 	var out []*node
 	item := itemName(req.Model, req.Adapter)
 	hasInstance, holdsModel := false, false
@@ -195,7 +195,7 @@
 
 // full reports whether an engine with the load l has no free batch slot or not enough KV
 // cache for the request.
-func (s *Assigner) full(l load, req Ask, uncached int) bool {
+func (s *Assigner) full(l load, req Request, uncached int) bool {
 	spec := s.spec(req.Service)
 	if spec == nil {
 		return false
@@ -225,16 +225,16 @@
 // retryAfter returns the retry delay for a caller: the shortfall, but at most a third of
 // the time left until the caller's deadline, so that some of it remains to be served in.
 // minRetryAfter and maxRetryAfter bound the result.
-func retryAfter(now time.Time, req Ask, shortfall time.Duration) time.Duration {
+func retryAfter(now time.Time, req Request, shortfall time.Duration) time.Duration {
 	remaining := req.Deadline.Sub(now)
 	return max(minRetryAfter, min(shortfall, maxRetryAfter, remaining/3))
 }
 
 // HoldUntil returns until when a request may be held after Choose refused it with cause.
 // arrived is when the request arrived.
-func (req *Ask) HoldUntil(arrived time.Time, cause error) time.Time {
-	objective := req.Start.Sub(arrived)
-	if errors.Is(cause, ErrPaced) {
+func (req *Request) HoldUntil(arrived time.Time, cause error) time.Time {
+	objective := req.StartBy.Sub(arrived)
+	if errors.Is(cause, ErrPrefillPaced) {
 		return arrived.Add(objective / pacedHoldDivisor)
 	}
 	if errors.Is(cause, ErrNotLoaded) || errors.Is(cause, ErrAdapterNotLoaded) {
--- a/internal/assign/engine_sim_test.go
+++ b/internal/assign/engine_sim_test.go
@@ -124,9 +124,9 @@
 	for ; f.now < length; f.now += tick {
 		if f.random.Float64() < perSecond*tick.Seconds() {
 			prompt := int(meanPromptTokens * (0.2 + f.random.ExpFloat64()*0.8))
-			req := Ask{
-				Service: "engines", Model: "m", PromptTokens: prompt, OutputTokens: outputTokens, Pause: maxGap,
-				Start: f.clock().Add(firstEventObjective), Deadline: f.clock().Add(12 * time.Second), Urgency: 1,
+			req := Request{
+				Service: "engines", Model: "m", PromptTokens: prompt, OutputTokens: outputTokens, MaxGap: maxGap,
+				StartBy: f.clock().Add(firstEventObjective), Deadline: f.clock().Add(12 * time.Second), Urgency: 1,
 			}
 			held = append(held, heldRequest{request: req, vm: f.random.IntN(len(f.vms))})
 		}
@@ -142,7 +142,7 @@
 
 // heldRequest is a request that waits for a place.
 type heldRequest struct {
-	request Ask
+	request Request
 	vm      int
 }
 
@@ -150,7 +150,7 @@
 func (f *simFleet) try(h heldRequest) bool {
 	c, err := f.vms[h.vm].Choose(h.request, f.clock())
 	if err != nil {
-		if f.clock().Before(h.request.HoldUntil(h.request.Start.Add(-firstEventObjective), err)) {
+		if f.clock().Before(h.request.HoldUntil(h.request.StartBy.Add(-firstEventObjective), err)) {
 			return false
 		}
 		if f.now >= f.countFrom {
@@ -171,7 +171,7 @@
 }
 
 func (f *simFleet) onEnded(r *simRequest, at time.Duration) {
-	r.owner.Streamed(r.choice, r.events, r.lastEvent-r.firstEvent, r.longestGap)
+	r.owner.RecordStream(r.choice, r.events, r.lastEvent-r.firstEvent, r.longestGap)
 	r.owner.Finish(r.choice, Succeeded, f.start.Add(at))
 	if r.sentAt < f.countFrom {
 		return
@@ -187,7 +187,7 @@
 		loads := from.Loads()
 		for j, to := range f.vms {
 			if i != j {
-				to.SetOthers(string(rune('a'+i)), loads, f.clock())
+				to.SetPeerLoads(string(rune('a'+i)), loads, f.clock())
 			}
 		}
 	}
--- a/internal/assign/node.go
+++ b/internal/assign/node.go
@@ -112,7 +112,7 @@
 
 // update applies a newer description of the same incarnation.
 func (n *node) update(i upstream.Instance) {
-	same := n.instance.HoldsSame(&i)
+	same := n.instance.SameContents(&i)
 	n.instance = i
 	if same {
 		return
@@ -240,9 +240,9 @@
 
 // cachedTokens returns how many leading tokens of a prompt are expected to be in the
 // engine's prefix cache.
-func (n *node) cachedTokens(req Ask, now time.Time) int {
+func (n *node) cachedTokens(req Request, now time.Time) int {
 	best := 0
-	for _, p := range req.Parts {
+	for _, p := range req.Prefixes {
 		at, ok := n.cached[p.Hash]
 		if !ok || now.Sub(at) > cacheLifetime {
 			break
@@ -261,11 +261,11 @@
 	maxCachedPrefixes = 4096
 )
 
-func (n *node) recordPrefixes(req Ask, now time.Time) {
+func (n *node) recordPrefixes(req Request, now time.Time) {
 	if len(n.cached) > maxCachedPrefixes {
 		n.evictPrefixes(now)
 	}
-	for _, p := range req.Parts {
+	for _, p := range req.Prefixes {
 		n.cached[p.Hash] = now
 	}
 }
--- a/internal/assign/pacing.go
+++ b/internal/assign/pacing.go
@@ -46,18 +46,18 @@
 // prefilled so many more tokens now. An engine prefills the prompts that have arrived
 // between two steps, so an event waits for the steps of its tokens and for all prompts that
 // arrive meanwhile. One prompt is always let through.
-func (s *Assigner) wouldStall(n *node, req Ask, uncached int, now time.Time) bool {
+func (s *Assigner) wouldStall(n *node, req Request, uncached int, now time.Time) bool {
 	spec := s.spec(req.Service)
-	if req.Pause == 0 || spec == nil || !s.stallStats[req.Service].pacing {
+	if req.MaxGap == 0 || spec == nil || !s.stallStats[req.Service].pacing {
 		return false
 	}
-	prefill := n.prefillSince(now.Add(-req.Pause))
+	prefill := n.prefillSince(now.Add(-req.MaxGap))
 	if prefill == 0 {
 		return false
 	}
 	p := s.speedOf(req.Model)
 	steps := time.Duration(max(1, spec.TokensPerEvent)) * p.step
-	return steps+prefill+time.Duration(uncached)*p.prefillPerToken > time.Duration(maxGapShare*float64(req.Pause))
+	return steps+prefill+time.Duration(uncached)*p.prefillPerToken > time.Duration(maxGapShare*float64(req.MaxGap))
 }
 
 // prefillEntry is prefill work that an engine was given, in engine time.
--- a/internal/assign/pacing_test.go
+++ b/internal/assign/pacing_test.go
@@ -21,7 +21,7 @@
 	var all []upstream.Instance
 	for i := range engines {
 		id := fmt.Sprint("i-", i)
-		all = append(all, upstream.Instance{ID: id, Service: "engines", Models: []upstream.Loaded{{Model: "m"}}})
+		all = append(all, upstream.Instance{ID: id, Service: "engines", Models: []upstream.LoadedModel{{Model: "m"}}})
 		f.engines[id] = &simEngine{step: 5 * time.Millisecond, prefillPerToken: 26 * time.Microsecond, prefillChunk: prefillChunk, slots: 64, tokensPerEvent: 6}
 	}
 	for range vms {
@@ -40,7 +40,7 @@
 		loads := f.vms[vm].LoadsOf([]string{engine})
 		for i, to := range f.vms {
 			if i != vm {
-				to.HearSent(string(rune('a'+vm)), loads, f.clock())
+				to.UpdatePeerLoads(string(rune('a'+vm)), loads, f.clock())
 			}
 		}
 	}
--- a/internal/assign/rank.go
+++ b/internal/assign/rank.go
@@ -34,7 +34,7 @@
 
 // cheapest returns the estimate with the lowest cost among the engines that have a place
 // and can prefill the prompt without stalling their streams, nil if there is none.
-func (s *Assigner) cheapest(engines []*node, preferred *node, req Ask, perToken time.Duration, now time.Time) *estimate {
+func (s *Assigner) cheapest(engines []*node, preferred *node, req Request, perToken time.Duration, now time.Time) *estimate {
 	var best *estimate
 	for _, n := range engines {
 		uncached, current := s.uncached(n, req, n == preferred, now), n.total(now, perToken)
@@ -43,7 +43,7 @@
 		}
 		start := expectedStart(n, req, uncached, current, perToken)
 		unreported := max(0, n.meanPeerPrefill(now)-(current.prefillTokens-n.local.prefillTokens))
-		cost := start + loadPenalty(current) + time.Duration(unreported)*perToken + n.prefillSince(now.Add(-req.Pause))
+		cost := start + loadPenalty(current) + time.Duration(unreported)*perToken + n.prefillSince(now.Add(-req.MaxGap))
 		if best == nil || cost < best.cost {
 			best = &estimate{node: n, uncached: uncached, start: start, cost: cost}
 		}
@@ -56,11 +56,11 @@
 // reach all VMs of a large fleet at about the same moment, and each VM would send its next
 // requests to the one engine that looks best in them, while other engines that hold the
 // model have next to nothing to do.
-func (s *Assigner) sample(engines []*node, preferred *node, req Ask) []*node {
-	if s.vms <= smallFleet || len(engines) <= sampleSize || len(req.Parts) == 0 {
+func (s *Assigner) sample(engines []*node, preferred *node, req Request) []*node {
+	if s.vms <= smallFleet || len(engines) <= sampleSize || len(req.Prefixes) == 0 {
 		return engines
 	}
-	requestHash := req.Parts[len(req.Parts)-1].Hash
+	requestHash := req.Prefixes[len(req.Prefixes)-1].Hash
 	drawn := slices.Clone(engines)
 	slices.SortFunc(drawn, func(x, y *node) int {
 		return cmp.Compare(x.rendezvousWeight(requestHash), y.rendezvousWeight(requestHash))
@@ -91,11 +91,11 @@
 // preferredEngine returns the engine to which all VMs send prompts with the same shared
 // prefix, so that it is prefilled once. It is chosen by rendezvous hashing: when engines
 // are added or removed, only the prompts of those engines move.
-func preferredEngine(candidates []*node, req Ask) *node {
-	if len(req.Parts) < 2 {
+func preferredEngine(candidates []*node, req Request) *node {
+	if len(req.Prefixes) < 2 {
 		return nil
 	}
-	shared := req.Parts[len(req.Parts)-2].Hash
+	shared := req.Prefixes[len(req.Prefixes)-2].Hash
 	var preferred *node
 	var maxWeight uint64
 	for _, n := range candidates {
@@ -118,16 +118,16 @@
 
 // uncached returns how many tokens of the prompt the engine would have to prefill.
 // preferred says whether it is the prompt's preferred engine.
-func (s *Assigner) uncached(n *node, req Ask, preferred bool, now time.Time) int {
+func (s *Assigner) uncached(n *node, req Request, preferred bool, now time.Time) int {
 	cached := n.cachedTokens(req, now)
-	if preferred && len(req.Parts) >= 2 {
-		cached = max(cached, int(preferredCacheShare*float64(req.Parts[len(req.Parts)-2].Tokens)))
+	if preferred && len(req.Prefixes) >= 2 {
+		cached = max(cached, int(preferredCacheShare*float64(req.Prefixes[len(req.Prefixes)-2].Tokens)))
 	}
 	return max(0, req.PromptTokens-cached)
 }
 
 // expectedStart returns the expected time to the first event at an engine with the load l.
-func expectedStart(n *node, req Ask, uncached int, l load, perToken time.Duration) time.Duration {
+func expectedStart(n *node, req Request, uncached int, l load, perToken time.Duration) time.Duration {
 	backlog := time.Duration(l.prefillTokens) * perToken
 	if req.Urgency == 0 {
 		backlog = time.Duration(urgentBacklogShare * float64(backlog))
--- a/internal/assign/speed.go
+++ b/internal/assign/speed.go
@@ -80,12 +80,12 @@
 	return time.Duration(promptTokens)*p.prefillPerToken + time.Duration(steps)
 }
 
-// Streamed records a complete stream: the number of its events, the time from the first to
+// RecordStream records a complete stream: the number of its events, the time from the first to
 // the last, and the longest time between two.
-func (s *Assigner) Streamed(c *Choice, events int, span, longest time.Duration) {
+func (s *Assigner) RecordStream(c *Choice, events int, span, longest time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.recordStall(c.request.Service, c.request.Pause > 0 && longest > c.request.Pause)
+	s.recordStall(c.request.Service, c.request.MaxGap > 0 && longest > c.request.MaxGap)
 	spec := s.spec(c.request.Service)
 	if spec == nil || events < 1 {
 		return
--- a/internal/assign/types.go
+++ b/internal/assign/types.go
@@ -13,9 +13,9 @@
 	ErrNotLoaded = errors.New("assign: no engine holds the model")
 	// ErrAdapterNotLoaded means that engines hold the model but none the adapter.
 	ErrAdapterNotLoaded = errors.New("assign: no engine holds the adapter")
-	// ErrPaced means that streams of the engines would stall for too long if the engines
+	// ErrPrefillPaced means that streams of the engines would stall for too long if the engines
 	// prefilled the prompt now.
-	ErrPaced = errors.New("assign: prefilling the prompt now would stall the streams of every engine with a free place")
+	ErrPrefillPaced = errors.New("assign: prefilling the prompt now would stall the streams of every engine with a free place")
 	// ErrOverloaded means that all upstreams are full, or that the request would start too
 	// late to meet its objective.
 	ErrOverloaded = errors.New("assign: all upstreams are full or would start the request too late")
@@ -27,12 +27,12 @@
 	Cause error
 	// RetryAfter is the delay after which another try may succeed.
 	RetryAfter time.Duration
-	// Wait means that a place may become free within the time for which the request may be
+	// Holdable means that a place may become free within the time for which the request may be
 	// held: try again soon.
-	Wait bool
-	// Best is the earliest start that was found, as the time from now to the first event.
+	Holdable bool
+	// EarliestStart is the earliest start that was found, as the time from now to the first event.
 	// It is for logs.
-	Best time.Duration
+	EarliestStart time.Duration
 }
 
 // Error returns the message of the cause.
@@ -41,27 +41,27 @@
 // Unwrap returns the cause.
 func (r *Refused) Unwrap() error { return r.Cause }
 
-// Part is a prefix of a prompt: a hash of everything up to its end, and the number of
+// Prefix is a prefix of a prompt: a hash of everything up to its end, and the number of
 // tokens up to there.
-type Part struct {
+type Prefix struct {
 	Hash   uint64
 	Tokens int
 }
 
-// Ask is a request that needs an upstream.
-type Ask struct {
+// Request is a request that needs an upstream.
+type Request struct {
 	Service string
 	// Model is empty for services without engines.
 	Model, Adapter string
-	// Parts are the prefixes of the prompt, shortest first, the whole prompt last.
-	Parts        []Part
+	// Prefixes are the prefixes of the prompt, shortest first, the whole prompt last.
+	Prefixes     []Prefix
 	PromptTokens int
 	OutputTokens int
-	// Start is when the first event is due, or the answer of a service without engines.
-	Start time.Time
-	// Pause is the longest allowed time between two events of the answer, 0 if it is not
+	// StartBy is when the first event is due, or the answer of a service without engines.
+	StartBy time.Time
+	// MaxGap is the longest allowed time between two events of the answer, 0 if it is not
 	// bounded.
-	Pause time.Duration
+	MaxGap time.Duration
 	// Deadline is when the caller gives up.
 	Deadline time.Time
 	// Urgency is the request's priority rank; 0 is the most urgent.
@@ -70,11 +70,11 @@
 	Avoid map[string]bool
 }
 
-// Beside is the work known to be at an upstream when it was chosen.
-type Beside struct {
-	// Requests is the number of requests in flight, Others how many of them other VMs
+// KnownLoad is the work known to be at an upstream when it was chosen.
+type KnownLoad struct {
+	// Requests is the number of requests in flight, PeerRequests how many of them other VMs
 	// reported.
-	Requests, Others int
+	Requests, PeerRequests int
 	// PrefillTokens is the number of prompt tokens that were waiting to be prefilled.
 	PrefillTokens int
 	// ReportAge is the age of the oldest report that is counted, 0 if there is none.
@@ -91,11 +91,11 @@
 	Expected time.Duration
 	// Late means that the objective can no longer be met.
 	Late bool
-	// Beside is the work known to be at the upstream when it was chosen.
-	Beside Beside
+	// KnownLoad is the work known to be at the upstream when it was chosen.
+	KnownLoad KnownLoad
 
 	node     *node
-	request  Ask
+	request  Request
 	placedAt time.Time
 	kvTokens int
 	started  bool
--- a/internal/assign/work.go
+++ b/internal/assign/work.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// SetOthers applies another VM's report of its work by instance. An instance that is
+// SetPeerLoads applies another VM's report of its work by instance. An instance that is
 // missing from it has no work of that VM.
-func (s *Assigner) SetOthers(vm string, loads map[string]Load, now time.Time) {
+func (s *Assigner) SetPeerLoads(vm string, loads map[string]Load, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, n := range s.nodes {
 		l, ok := loads[id]
 		if ok {
-			n.recordPeerPrefill(vm, l.ReadTotal, now)
+			n.recordPeerPrefill(vm, l.PrefillTotal, now)
 		}
 		if !ok && n.peers[vm].updatedMean(l.PrefillTokens, now) < minMeanPrefill {
 			delete(n.peers, vm)
@@ -35,16 +35,16 @@
 // localLoad returns this VM's work at the instance.
 func (n *node) localLoad() Load {
 	return Load{
-		Requests: n.local.requests, PrefillTokens: n.local.prefillTokens, KVTokens: n.local.kvTokens, ReadTotal: n.prefillTotal, Running: maps.Clone(n.running),
+		Requests: n.local.requests, PrefillTokens: n.local.prefillTokens, KVTokens: n.local.kvTokens, PrefillTotal: n.prefillTotal, Running: maps.Clone(n.running),
 	}
 }
 
 // Load is work in flight at an instance.
 type Load struct {
 	Requests, PrefillTokens, KVTokens int
-	// ReadTotal is the engine time for prefill that one VM has given to the instance since
+	// PrefillTotal is the engine time for prefill that one VM has given to the instance since
 	// the VM started.
-	ReadTotal time.Duration
+	PrefillTotal time.Duration
 	// Running counts the requests by model.
 	Running map[string]int
 }
@@ -58,7 +58,7 @@
 func (l Load) combine(other Load, sign int) Load {
 	out := Load{
 		Requests: l.Requests + sign*other.Requests, PrefillTokens: l.PrefillTokens + sign*other.PrefillTokens,
-		KVTokens: l.KVTokens + sign*other.KVTokens, ReadTotal: l.ReadTotal + time.Duration(sign)*other.ReadTotal,
+		KVTokens: l.KVTokens + sign*other.KVTokens, PrefillTotal: l.PrefillTotal + time.Duration(sign)*other.PrefillTotal,
 		Running: make(map[string]int, len(l.Running)+len(other.Running)),
 	}
 	maps.Copy(out.Running, l.Running)
@@ -72,7 +72,7 @@
 
 // IsZero reports whether all fields are zero.
 func (l Load) IsZero() bool {
-	return l.Requests == 0 && l.PrefillTokens == 0 && l.KVTokens == 0 && l.ReadTotal == 0 && len(l.Running) == 0
+	return l.Requests == 0 && l.PrefillTokens == 0 && l.KVTokens == 0 && l.PrefillTotal == 0 && len(l.Running) == 0
 }
 
 // Loads returns this VM's work by instance, for the instances that have any.
@@ -101,14 +101,14 @@
 	return out
 }
 
-// HearSent applies another VM's work at the engines to which it has just sent requests. Its
+// UpdatePeerLoads applies another VM's work at the engines to which it has just sent requests. Its
 // work at other instances stays as it was.
-func (s *Assigner) HearSent(vm string, loads map[string]Load, now time.Time) {
+func (s *Assigner) UpdatePeerLoads(vm string, loads map[string]Load, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, l := range loads {
 		if n := s.nodes[id]; n != nil {
-			n.recordPeerPrefill(vm, l.ReadTotal, now)
+			n.recordPeerPrefill(vm, l.PrefillTotal, now)
 			n.setPeerLoad(vm, l, now)
 		}
 	}
@@ -129,8 +129,8 @@
 }
 
 // place reserves a place at the instance and adds the request to its work.
-func (s *Assigner) place(n *node, req Ask, uncached int, expected time.Duration, now time.Time) *Choice {
-	c := &Choice{Instance: n.instance.ID, Uncached: uncached, Expected: expected, Beside: s.knownLoad(n, req, now), node: n, request: req, placedAt: now}
+func (s *Assigner) place(n *node, req Request, uncached int, expected time.Duration, now time.Time) *Choice {
+	c := &Choice{Instance: n.instance.ID, Uncached: uncached, Expected: expected, KnownLoad: s.knownLoad(n, req, now), node: n, request: req, placedAt: now}
 	c.kvTokens = uncached + req.OutputTokens/2
 	prefill := time.Duration(uncached) * s.speedOf(req.Model).prefillPerToken
 	n.recordPrefill(prefill, now)
@@ -150,9 +150,9 @@
 }
 
 // knownLoad returns the work that is known to be at an instance.
-func (s *Assigner) knownLoad(n *node, req Ask, now time.Time) Beside {
+func (s *Assigner) knownLoad(n *node, req Request, now time.Time) KnownLoad {
 	total := n.total(now, s.speedOf(req.Model).prefillPerToken)
-	b := Beside{Requests: total.requests, Others: total.requests - n.local.requests, PrefillTokens: total.prefillTokens}
+	b := KnownLoad{Requests: total.requests, PeerRequests: total.requests - n.local.requests, PrefillTokens: total.prefillTokens}
 	for _, r := range n.peers {
 		if age := now.Sub(r.receivedAt); age <= reportLifetime {
 			b.ReportAge = max(b.ReportAge, age)
@@ -181,16 +181,16 @@
 	s.recordFirstEvent(n, c, now.Sub(c.placedAt))
 }
 
-// Heard records that the choice's instance has sent something.
-func (s *Assigner) Heard(c *Choice, now time.Time) {
+// RecordActivity records that the choice's instance has sent something.
+func (s *Assigner) RecordActivity(c *Choice, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.node.lastActivity = now
 }
 
-// Lives reports whether the instance has sent anything for any request of this VM within
+// RecentlyActive reports whether the instance has sent anything for any request of this VM within
 // the given time before now.
-func (s *Assigner) Lives(instance string, within time.Duration, now time.Time) bool {
+func (s *Assigner) RecentlyActive(instance string, within time.Duration, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.nodes[instance]
@@ -253,7 +253,7 @@
 }
 
 // releaseAdapter counts a request that uses an adapter as ended.
-func (s *Assigner) releaseAdapter(req Ask) {
+func (s *Assigner) releaseAdapter(req Request) {
 	if req.Adapter == "" {
 		return
 	}
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -65,9 +65,9 @@
 	Name string
 	// MemoryMB is the accelerator memory of the weights, in 10^6 bytes.
 	MemoryMB float64
-	// LoadTime is the duration of a load from the weight store, WarmTime of one from
-	// the engine's memory, DiskTime of one from its disk.
-	LoadTime, WarmTime, DiskTime time.Duration
+	// LoadTime is the duration of a load from the weight store, MemoryLoadTime of one from
+	// the engine's memory, DiskLoadTime of one from its disk.
+	LoadTime, MemoryLoadTime, DiskLoadTime time.Duration
 	// Adapters is the number of the model's adapters, AdapterMB the memory of each in
 	// 10^6 bytes.
 	Adapters  int
@@ -142,9 +142,9 @@
 	Teams map[string]*Team
 	// RateUnit is the unit of teams' rates. PlainTokens is the charge, in tokens, for a
 	// request that does not state its tokens.
-	RateUnit    Unit
-	PlainTokens int
-	Limits      Limits
+	RateUnit      Unit
+	DefaultTokens int
+	Limits        Limits
 
 	routesByHost map[string][]*Route
 	allRoutes    []*Route
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -26,7 +26,7 @@
 				}
 				events = append(events, read...)
 			}
-			story, err := explain.Tell(events, args[0])
+			story, err := explain.NewReport(events, args[0])
 			if err != nil {
 				return err
 			}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -28,12 +28,12 @@
 		"e420a1bf75da4d30": "nobody can know whether it ran",
 		"b220a373805c724f": "no team held its key in configuration 27",
 	} {
-		report, err := Tell(events, request)
+		report, err := NewReport(events, request)
 		require.NoError(t, err)
 		require.Contains(t, report.Verdict, verdict)
 		require.Contains(t, report.String(), "* ")
 	}
-	_, err := Tell(events, "nobody")
+	_, err := NewReport(events, "nobody")
 	require.ErrorIs(t, err, ErrUnknownRequest)
 }
 
@@ -45,7 +45,7 @@
 		`{"event":"request_ended","request":"r","vm":"a","outcome":"upstream_failure","status":500,"upstream":"i-1","time":"2026-02-05T12:30:53Z"}` + "\n" +
 			`{"event":"request_sent","request":"r","vm":"a","send":1,"upstream":"i-1","time":"2026-02-05T12:30:53Z"}` + "\n"))
 	require.NoError(t, err)
-	report, err := Tell(events, "r")
+	report, err := NewReport(events, "r")
 	require.NoError(t, err)
 	require.Equal(t, "upstream i-1 ran it and answered 500", report.Verdict)
 }
@@ -70,7 +70,7 @@
 `
 	events, err := Read(strings.NewReader(lines))
 	require.NoError(t, err)
-	report, err := Tell(events, "r")
+	report, err := NewReport(events, "r")
 	require.NoError(t, err)
 	require.Contains(t, report.Verdict, `late by a pause of 210 ms behind event "4", objective 150 ms`)
 	require.Contains(t, report.Verdict, "i-1 had 41 requests in flight (30 of other VMs, heard up to 240 ms before; 1 sent by them since) and 2300 prompt tokens to read")
--- a/internal/explain/report.go
+++ b/internal/explain/report.go
@@ -27,9 +27,9 @@
 	Verdict string
 }
 
-// Tell returns the report of a request from the events of all VMs. It returns
+// NewReport returns the report of a request from the events of all VMs. It returns
 // ErrUnknownRequest, wrapped, if no event belongs to the request.
-func Tell(events []Event, request string) (*Report, error) {
+func NewReport(events []Event, request string) (*Report, error) {
 	r := &Report{Request: request}
 	for _, e := range events {
 		if e.Request == request {
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -278,8 +278,8 @@
 	return defaultIdleTimeout
 }
 
-// Forget closes the idle connections to an address.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to an address.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
 	delete(p.idle, address)
@@ -300,6 +300,6 @@
 	}
 	p.mu.Unlock()
 	for _, a := range removed {
-		p.Forget(a)
+		p.CloseIdle(a)
 	}
 }
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -42,13 +42,13 @@
 	Prefix string
 	// LeaseMin is the shortest lease of the store.
 	LeaseMin time.Duration
-	// Settle is the takeover delay: how long a new leader waits before it acts if another
+	// TakeoverDelay is the takeover delay: how long a new leader waits before it acts if another
 	// process led before it.
-	Settle time.Duration
-	Clock  clock.Func
-	// Stands reports whether this VM may campaign for the lease now. Nil means always.
-	Stands func() bool
-	Log    zerolog.Logger
+	TakeoverDelay time.Duration
+	Clock         clock.Func
+	// Eligible reports whether this VM may campaign for the lease now. Nil means always.
+	Eligible func() bool
+	Log      zerolog.Logger
 }
 
 // Candidate takes part in leader elections. It is safe for concurrent use.
@@ -150,8 +150,8 @@
 	return c.token != 0
 }
 
-// Leads reports whether this VM holds the lease by its own clock, during the takeover delay too.
-func (c *Candidate) Leads() bool {
+// HoldsLease reports whether this VM holds the lease by its own clock, during the takeover delay too.
+func (c *Candidate) HoldsLease() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.token != 0 && clock.Elapsed(c.renewedAt, c.options.Clock()) < c.validFor
@@ -179,7 +179,7 @@
 	switch {
 	case leading:
 		c.renew(ctx)
-	case vacant && (c.options.Stands == nil || c.options.Stands()):
+	case vacant && (c.options.Eligible == nil || c.options.Eligible()):
 		c.campaign(ctx)
 	}
 }
@@ -199,7 +199,7 @@
 			c.options.Log.Info().Str("event", "leadership_regained").Int64("token", c.token).Send()
 		}
 		c.lapseLogged = false
-	case errors.Is(err, store.ErrLeaseGone):
+	case errors.Is(err, store.ErrLeaseEnded):
 		c.options.Log.Warn().Str("event", "leadership_lost").Int64("token", c.token).AnErr("cause", err).Send()
 		c.token, c.observed, c.lapseLogged = 0, false, false
 	case !c.lapseLogged && clock.Elapsed(c.renewedAt, c.options.Clock()) >= c.validFor:
@@ -257,7 +257,7 @@
 	if last.Revision == 0 || last.Revision == c.lastWon {
 		return 0
 	}
-	return c.options.Settle
+	return c.options.TakeoverDelay
 }
 
 // vmOf returns the VM that an election's item names, "" if it names none.
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -45,7 +45,7 @@
 			return nil
 		}
 	}
-	return errors.WithStack(store.ErrLeaseGone)
+	return errors.WithStack(store.ErrLeaseEnded)
 }
 
 func (f *fakeStore) Revoke(context.Context, store.LeaseID) error {
@@ -79,7 +79,7 @@
 func newTestCandidate(vm string, s *fakeStore) *testCandidate {
 	c := &testCandidate{store: s}
 	c.Candidate = New(Options{
-		Store: s, VM: vm, Prefix: "x/", Settle: 3 * time.Second, Log: zerolog.Nop(),
+		Store: s, VM: vm, Prefix: "x/", TakeoverDelay: 3 * time.Second, Log: zerolog.Nop(),
 		Clock: func() clock.Reading { return clock.Reading{Mono: c.mono, Wall: time.Unix(0, 0).Add(c.wall)} },
 	})
 	return c
@@ -116,7 +116,7 @@
 	_, ok = c.Authority()
 	require.False(t, ok)
 	c.step(context.Background())
-	require.False(t, c.Leads())
+	require.False(t, c.HoldsLease())
 }
 
 // The store is unavailable for longer than a lease, and leases do not expire meanwhile. Nobody
@@ -153,7 +153,7 @@
 	delete(s.items, "x/leader")
 	newTestCandidate("b", s).observeAndStep()
 	a.step(context.Background())
-	require.False(t, a.Leads())
+	require.False(t, a.HoldsLease())
 	_, ok := a.Authority()
 	require.False(t, ok)
 }
@@ -176,7 +176,7 @@
 	delete(s.items, "x/leader")
 	b := newTestCandidate("b", s)
 	b.observeAndStep()
-	require.True(t, b.Leads())
+	require.True(t, b.HoldsLease())
 	for range 4 {
 		_, ok := b.Authority()
 		require.False(t, ok)
@@ -198,11 +198,11 @@
 	b := newTestCandidate("b", s)
 	s.loseCommitReplies = true
 	b.observeAndStep()
-	require.False(t, b.Leads())
+	require.False(t, b.HoldsLease())
 	s.loseCommitReplies = false
 	delete(s.items, "x/leader")
 	b.observeAndStep()
-	require.True(t, b.Leads())
+	require.True(t, b.HoldsLease())
 	_, ok := b.Authority()
 	require.False(t, ok)
 }
@@ -221,9 +221,9 @@
 	delete(s.items, "x/leader")
 	a.Observe(old)
 	a.step(context.Background())
-	require.False(t, a.Leads())
+	require.False(t, a.HoldsLease())
 	a.observeAndStep()
-	require.True(t, a.Leads())
+	require.True(t, a.HoldsLease())
 	_, ok := a.Authority()
 	require.False(t, ok)
 }
@@ -240,7 +240,7 @@
 	a.step(context.Background())
 	s.unavailable = false
 	a.step(context.Background())
-	require.False(t, a.Leads(), "its lease has expired")
+	require.False(t, a.HoldsLease(), "its lease has expired")
 	a.observeAndStep()
 	_, ok := a.Authority()
 	require.True(t, ok)
@@ -252,8 +252,8 @@
 	b.Observe(s.items)
 	a.observeAndStep()
 	b.step(context.Background())
-	require.True(t, a.Leads())
-	require.False(t, b.Leads())
+	require.True(t, a.HoldsLease())
+	require.False(t, b.HoldsLease())
 	require.Equal(t, 1, s.revoked)
 	b.Observe(s.items)
 	term, ok := b.Leader()
--- a/internal/patch/history.go
+++ b/internal/patch/history.go
@@ -36,9 +36,9 @@
 // NewHistory returns an empty history.
 func NewHistory() *History { return &History{histories: make(map[string]*keyHistory)} }
 
-// Note records a key's value at a revision. It ignores values smaller than MinBytes and
+// Record records a key's value at a revision. It ignores values smaller than MinBytes and
 // revisions that are not newer than the newest kept one.
-func (h *History) Note(key string, revision int64, value []byte) {
+func (h *History) Record(key string, revision int64, value []byte) {
 	if len(value) < MinBytes {
 		return
 	}
--- a/internal/patch/patch_test.go
+++ b/internal/patch/patch_test.go
@@ -74,11 +74,11 @@
 
 func TestHistoryPatchesKeptVersions(t *testing.T) {
 	h := NewHistory()
-	h.Note("small", 1, []byte("x"))
+	h.Record("small", 1, []byte("x"))
 	_, _, ok := h.Patch("small", 1, 0)
 	require.False(t, ok)
 	for revision := range int64(maxVersions + 2) {
-		h.Note("k", revision+1, configurationText(800+int(revision)))
+		h.Record("k", revision+1, configurationText(800+int(revision)))
 	}
 	newest := int64(maxVersions + 2)
 	_, _, ok = h.Patch("k", newest-1, 0)
--- a/internal/peer/pieces.go
+++ b/internal/peer/pieces.go
@@ -34,11 +34,11 @@
 	pieceTimeout = 1500 * time.Millisecond
 )
 
-// Pieces is the receiving side of a stream of a message's pieces.
-type Pieces = grpc.ServerStreamingClient[peerpb.Piece]
+// PieceStream is the receiving side of a stream of a message's pieces.
+type PieceStream = grpc.ServerStreamingClient[peerpb.Piece]
 
 // OpenStream starts a call whose answer is a message in pieces.
-type OpenStream func(context.Context, grpc.ClientConnInterface) (Pieces, error)
+type OpenStream func(context.Context, grpc.ClientConnInterface) (PieceStream, error)
 
 // SendPieces sends the message that build returns in pieces. While build runs, it sends
 // empty pieces, for emptyPieceTimeout at most. Without them, the receiver could not
@@ -89,11 +89,11 @@
 	return nil
 }
 
-// Receive calls the peer at address and reads a message in pieces. The call fails if the
+// ReceivePieces calls the peer at address and reads a message in pieces. The call fails if the
 // first piece does not arrive within firstPieceTimeout or a later one within pieceTimeout;
 // the total time is not limited. It returns the time from the first piece with data to the
 // last one, and the errors of Call.
-func (p *Pool) Receive(ctx context.Context, address string, firstPieceTimeout time.Duration, open OpenStream, message proto.Message) (transferTime time.Duration, err error) {
+func (p *Pool) ReceivePieces(ctx context.Context, address string, firstPieceTimeout time.Duration, open OpenStream, message proto.Message) (transferTime time.Duration, err error) {
 	c, err := p.connection(address)
 	if err != nil {
 		return 0, err
--- a/internal/peer/pieces_test.go
+++ b/internal/peer/pieces_test.go
@@ -70,7 +70,7 @@
 	return s, pool, listener.Addr().String()
 }
 
-func follow(ctx context.Context, conn grpc.ClientConnInterface) (Pieces, error) {
+func follow(ctx context.Context, conn grpc.ClientConnInterface) (PieceStream, error) {
 	return peerpb.NewVMsClient(conn).Follow(ctx, &peerpb.FollowRequest{})
 }
 
@@ -86,7 +86,7 @@
 	s, pool, address := startSlowPeer(t)
 	done := make(chan error, 1)
 	go func() {
-		_, err := pool.Receive(t.Context(), address, testFirstPieceTimeout, follow, &peerpb.FollowResponse{})
+		_, err := pool.ReceivePieces(t.Context(), address, testFirstPieceTimeout, follow, &peerpb.FollowResponse{})
 		done <- err
 	}()
 	for range 2 * maxTimeouts {
@@ -112,7 +112,7 @@
 	s, pool, address := startSlowPeer(t)
 	defer close(s.nextPiece)
 	go func() { s.nextPiece <- struct{}{} }()
-	_, err := pool.Receive(t.Context(), address, 20*testTimeout, follow, &peerpb.FollowResponse{})
+	_, err := pool.ReceivePieces(t.Context(), address, 20*testTimeout, follow, &peerpb.FollowResponse{})
 	require.ErrorIs(t, err, ErrUnreachable)
 }
 
@@ -126,7 +126,7 @@
 		time.Sleep(2 * emptyPieceInterval)
 		s.nextPiece <- struct{}{}
 	}()
-	_, err := pool.Receive(t.Context(), address, emptyPieceInterval*3/2, func(ctx context.Context, conn grpc.ClientConnInterface) (Pieces, error) {
+	_, err := pool.ReceivePieces(t.Context(), address, emptyPieceInterval*3/2, func(ctx context.Context, conn grpc.ClientConnInterface) (PieceStream, error) {
 		return peerpb.NewVMsClient(conn).Configuration(ctx, &peerpb.ConfigurationRequest{})
 	}, answer)
 	require.NoError(t, err)
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -53,16 +53,16 @@
 	b.limits = l
 }
 
-// Request counts a request to the service.
-func (b *Budget) Request(service string, now time.Time) {
+// RecordRequest counts a request to the service.
+func (b *Budget) RecordRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.window(service).current(b.slotIndex(now)).requests++
 }
 
-// Take reports whether a request to the service may be retried, and counts the retry if so.
+// AllowRetry reports whether a request to the service may be retried, and counts the retry if so.
 // vms is the number of VMs that share the budget.
-func (b *Budget) Take(service string, vms int, now time.Time) bool {
+func (b *Budget) AllowRetry(service string, vms int, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service)
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -24,8 +24,8 @@
 		for _, b := range budgets {
 			for i := range perSecond {
 				at := now.Add(time.Duration(second)*time.Second + time.Duration(i)*time.Second/perSecond)
-				b.Request("s", at)
-				if b.Take("s", vms, at) {
+				b.RecordRequest("s", at)
+				if b.AllowRetry("s", vms, at) {
 					allowed++
 				}
 			}
@@ -45,7 +45,7 @@
 func TestServicesHaveSeparateBudgets(t *testing.T) {
 	now := time.Now()
 	b := New(Limits{Ratio: 0, Slack: 4, Window: time.Second}, now)
-	for b.Take("a", 1, now) {
+	for b.AllowRetry("a", 1, now) {
 	}
-	require.True(t, b.Take("b", 1, now))
+	require.True(t, b.AllowRetry("b", 1, now))
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -13,8 +13,8 @@
 	// ErrConflict means that a condition of a change did not hold. Nothing was
 	// written.
 	ErrConflict = errors.New("store: a condition of the change does not hold")
-	// ErrLeaseGone means that the lease has expired or was revoked.
-	ErrLeaseGone = errors.New("store: the lease has ended")
+	// ErrLeaseEnded means that the lease has expired or was revoked.
+	ErrLeaseEnded = errors.New("store: the lease has ended")
 	// ErrCompacted means that the history after a revision was compacted: a watch has
 	// to start again from a range read.
 	ErrCompacted = errors.New("store: the history after the revision was compacted")
--- a/internal/teamrate/limiter.go
+++ b/internal/teamrate/limiter.go
@@ -188,10 +188,10 @@
 	}
 }
 
-// Report applies another VM's totals by team since its start: the units that it admitted,
+// ApplyReport applies another VM's totals by team since its start: the units that it admitted,
 // and the units that were requested. Teams that are missing have the same totals as in its
 // last report. Reports of VMs that SetPeers did not name are ignored.
-func (l *Limiter) Report(vm string, incarnation int64, admitted, demand map[string]float64, now time.Time) {
+func (l *Limiter) ApplyReport(vm string, incarnation int64, admitted, demand map[string]float64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.peers[vm]
@@ -247,9 +247,9 @@
 	return l.totals(func(b *bucket) float64 { return b.admitted })
 }
 
-// Asked returns the units that were requested at this VM by team since it started, admitted
+// Demand returns the units that were requested at this VM by team since it started, admitted
 // or not.
-func (l *Limiter) Asked() map[string]float64 {
+func (l *Limiter) Demand() map[string]float64 {
 	return l.totals(func(b *bucket) float64 { return b.localDemand })
 }
 
@@ -263,9 +263,9 @@
 	return out
 }
 
-// Take admits a request of the given units, or returns the delay after which enough units
+// Admit admits a request of the given units, or returns the delay after which enough units
 // are expected. A request larger than the bucket is admitted when the bucket is full.
-func (l *Limiter) Take(team string, units float64, now time.Time) (ok bool, retryAfter time.Duration) {
+func (l *Limiter) Admit(team string, units float64, now time.Time) (ok bool, retryAfter time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.teams[team]
@@ -307,8 +307,8 @@
 	return overcommitAggregated
 }
 
-// Return refunds the units of an admitted request that did not run.
-func (l *Limiter) Return(team string, units float64) {
+// Refund refunds the units of an admitted request that did not run.
+func (l *Limiter) Refund(team string, units float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.teams[team]
--- a/internal/teamrate/limiter_test.go
+++ b/internal/teamrate/limiter_test.go
@@ -89,7 +89,7 @@
 			expected--
 			units := min(size*math.Exp(r.NormFloat64()*0.8-0.32), 5*size)
 			w.requested += units
-			if ok, _ := w.limiters[i].Take("team", units, w.now); ok {
+			if ok, _ := w.limiters[i].Admit("team", units, w.now); ok {
 				total += units
 			} else {
 				w.refused += units
@@ -106,7 +106,7 @@
 		for i, l := range w.limiters {
 			for j := range w.limiters {
 				if i != j && !w.cut[i] && !w.cut[j] {
-					w.inflight = append(w.inflight, report{w.now.Add(testLag + time.Duration(r.Int64N(int64(testJitter)))), w.now, i, j, w.incarnations[i], l.Admitted(), l.Asked()})
+					w.inflight = append(w.inflight, report{w.now.Add(testLag + time.Duration(r.Int64N(int64(testJitter)))), w.now, i, j, w.incarnations[i], l.Admitted(), l.Demand()})
 				}
 			}
 		}
@@ -119,7 +119,7 @@
 		}
 		if m.incarnation == w.incarnations[m.from] && m.sentAt.After(w.lastDelivered[[2]int{m.from, m.to}]) {
 			w.lastDelivered[[2]int{m.from, m.to}] = m.sentAt
-			w.limiters[m.to].Report(fmt.Sprint(m.from), m.incarnation, m.admitted, m.demand, w.now)
+			w.limiters[m.to].ApplyReport(fmt.Sprint(m.from), m.incarnation, m.admitted, m.demand, w.now)
 		}
 	}
 	w.inflight = later
@@ -311,8 +311,8 @@
 		l := New(Tolerance{Units: testSlack, Window: testWindow}, 1)
 		l.SetLimits(map[string]Limit{"team": {Rate: 1000, Burst: 1000}}, now)
 		l.SetPeers(map[string]int{"b": 1}, now)
-		l.Report("b", 2, nil, nil, now)
-		l.Report("b", 2, map[string]float64{"team": used}, map[string]float64{"team": used}, now.Add(testReport))
+		l.ApplyReport("b", 2, nil, nil, now)
+		l.ApplyReport("b", 2, map[string]float64{"team": used}, map[string]float64{"team": used}, now.Add(testReport))
 		level, _ := l.Level("team")
 		return level
 	}
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -20,8 +20,8 @@
 	Capacity float64
 	// Silent means that the VM has not reported for so long that it cannot be a hub.
 	Silent bool
-	// Leads means that the VM is the leader, which sends orders to engines.
-	Leads bool
+	// Leader means that the VM is the leader, which sends orders to engines.
+	Leader bool
 }
 
 // Partner is a VM to exchange reports with.
@@ -30,8 +30,8 @@
 	// Weight is the number of VMs that the partner reports for; zero for a standby, which
 	// is only checked to be reachable.
 	Weight int
-	// Call means that this VM starts the exchanges.
-	Call bool
+	// Initiate means that this VM starts the exchanges.
+	Initiate bool
 }
 
 // Scope is what a report to another VM covers.
@@ -64,7 +64,7 @@
 	p := &Plan{self: self, Mesh: len(others)+1 <= MeshLimit, hubs: make(map[string]string)}
 	if p.Mesh {
 		for _, vm := range others {
-			p.Partners = append(p.Partners, Partner{Name: vm.Name, Weight: 1, Call: self.Name < vm.Name})
+			p.Partners = append(p.Partners, Partner{Name: vm.Name, Weight: 1, Initiate: self.Name < vm.Name})
 		}
 		return p
 	}
@@ -77,7 +77,7 @@
 		}
 	}
 	if !p.IsHub() {
-		p.Partners = []Partner{{Name: p.hubs[self.Domain], Weight: len(others), Call: true}}
+		p.Partners = []Partner{{Name: p.hubs[self.Domain], Weight: len(others), Initiate: true}}
 		p.addStandbys(others)
 		return p
 	}
@@ -88,7 +88,7 @@
 	}
 	for domain, hub := range p.hubs {
 		if domain != self.Domain {
-			p.Partners = append(p.Partners, Partner{Name: hub, Weight: sizes[domain], Call: self.Name < hub})
+			p.Partners = append(p.Partners, Partner{Name: hub, Weight: sizes[domain], Initiate: self.Name < hub})
 		}
 	}
 	slices.SortFunc(p.Partners, func(a, b Partner) int { return strings.Compare(a.Name, b.Name) })
@@ -115,7 +115,7 @@
 		return 1
 	})
 	for _, vm := range candidates[:min(maxStandbys, len(candidates))] {
-		p.Partners = append(p.Partners, Partner{Name: vm.Name, Call: true})
+		p.Partners = append(p.Partners, Partner{Name: vm.Name, Initiate: true})
 	}
 }
 
@@ -163,7 +163,7 @@
 		return ScopeOwn
 	case !p.IsHub():
 		return ScopePresence
-	case receiver.Domain == p.self.Domain && receiver.Leads:
+	case receiver.Domain == p.self.Domain && receiver.Leader:
 		return ScopeAllForLeader
 	case receiver.Domain == p.self.Domain:
 		return ScopeAll
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -28,7 +28,7 @@
 		require.Len(t, p.Partners, 6)
 		require.False(t, p.IsHub())
 		for _, partner := range p.Partners {
-			if partner.Call {
+			if partner.Initiate {
 				initiated++
 			}
 		}
@@ -47,7 +47,7 @@
 		weight := 0
 		for _, partner := range p.Partners {
 			weight += partner.Weight
-			if partner.Call && partner.Weight > 0 {
+			if partner.Initiate && partner.Weight > 0 {
 				pairs++
 			}
 		}
@@ -107,7 +107,7 @@
 	require.Equal(t, ScopeOwn, planOf(all, 4).ScopeFor(all[0]))
 	require.Equal(t, ScopePresence, planOf(all, 4).ScopeFor(all[8]))
 	leader := all[4]
-	leader.Leads = true
+	leader.Leader = true
 	require.Equal(t, ScopeAllForLeader, hub.ScopeFor(leader))
 	require.True(t, planOf(all, 4).Accepts(all[0], ScopeAllForLeader))
 	require.False(t, hub.Accepts(all[4], ScopePresence))
--- a/internal/traffic/acquire.go
+++ b/internal/traffic/acquire.go
@@ -43,9 +43,9 @@
 
 // mayHold reports whether a request that has been waiting for a slot since began may be held
 // further after the refusal err.
-func (j *job) mayHold(ask assign.Ask, began time.Time, err error) bool {
+func (j *job) mayHold(ask assign.Request, began time.Time, err error) bool {
 	var refused *assign.Refused
-	if !errors.As(err, &refused) || !refused.Wait {
+	if !errors.As(err, &refused) || !refused.Holdable {
 		return false
 	}
 	until := ask.HoldUntil(j.request.Arrived, err)
@@ -65,23 +65,23 @@
 	repeatHoldDivisor = 4
 )
 
-func (j *job) ask() assign.Ask {
+func (j *job) ask() assign.Request {
 	if j.parts == nil && len(j.request.Parts) > 0 {
 		ids := make([]string, len(j.request.Parts))
 		tokens := make([]int, len(j.request.Parts))
 		for i, p := range j.request.Parts {
 			ids[i], tokens[i] = p.ID, p.Tokens
 		}
-		j.parts = assign.Parts(j.request.Model, j.request.Adapter, ids, tokens)
+		j.parts = assign.Prefixes(j.request.Model, j.request.Adapter, ids, tokens)
 	}
-	return assign.Ask{
-		Service: j.service, Model: j.request.Model, Adapter: j.request.Adapter, Parts: j.parts,
+	return assign.Request{
+		Service: j.service, Model: j.request.Model, Adapter: j.request.Adapter, Prefixes: j.parts,
 		PromptTokens: j.request.PromptTokens, OutputTokens: j.request.expectedOutput(),
-		Start: j.due, Deadline: j.deadline, Pause: j.route.GapObjective, Urgency: j.urgency, Avoid: j.avoid,
+		StartBy: j.due, Deadline: j.deadline, MaxGap: j.route.GapObjective, Urgency: j.urgency, Avoid: j.avoid,
 	}
 }
 
-func (j *job) ensureAdapter(ctx context.Context, ask assign.Ask) bool {
+func (j *job) ensureAdapter(ctx context.Context, ask assign.Request) bool {
 	ctx, cancel := context.WithTimeout(ctx, min(ensureTimeout, time.Until(j.deadline)))
 	defer cancel()
 	instance, err := j.core.options.EnsureAdapter(ctx, ask.Service, ask.Model, ask.Adapter)
--- a/internal/traffic/core.go
+++ b/internal/traffic/core.go
@@ -125,8 +125,8 @@
 	default:
 	}
 	hold := startingHold
-	if q.Wait > 0 {
-		hold = min(hold, q.Wait/startingHoldDivisor)
+	if q.Timeout > 0 {
+		hold = min(hold, q.Timeout/startingHoldDivisor)
 	}
 	timer := time.NewTimer(hold)
 	defer timer.Stop()
@@ -166,7 +166,7 @@
 	j.units = unitsOf(config, q)
 	now := time.Now()
 	if j.team != "" {
-		ok, retry := c.options.Limiter.Take(j.team, j.units, now)
+		ok, retry := c.options.Limiter.Admit(j.team, j.units, now)
 		if !ok {
 			j.rateLevel, j.ratePace = c.options.Limiter.Level(j.team)
 			return j, &Refusal{
@@ -175,8 +175,8 @@
 			}
 		}
 	}
-	c.options.Budget.Request(j.service, now)
-	c.options.Assigner.Offered(j.service, q.Model, q.Adapter, q.PromptTokens, q.expectedOutput())
+	c.options.Budget.RecordRequest(j.service, now)
+	c.options.Assigner.RecordDemand(j.service, q.Model, q.Adapter, q.PromptTokens, q.expectedOutput())
 	return j, nil
 }
 
@@ -199,8 +199,8 @@
 	if config.RateUnit == catalog.UnitRequests {
 		return 1
 	}
-	if !q.Counted {
-		return float64(config.PlainTokens)
+	if !q.TokensDeclared {
+		return float64(config.DefaultTokens)
 	}
 	return float64(q.PromptTokens + q.OutputTokens)
 }
--- a/internal/traffic/fakes_test.go
+++ b/internal/traffic/fakes_test.go
@@ -93,11 +93,13 @@
 	text    string
 }
 
-func (s *fakeSink) Refuse(r Refusal)                          { s.status, s.refusal = r.Status, &r }
-func (s *fakeSink) Whole(status int, _ http.Header, b []byte) { s.status, s.text = status, string(b) }
-func (s *fakeSink) Begin(status int, _ http.Header)           { s.status = status }
-func (s *fakeSink) Pass(piece []byte) error                   { s.text += string(piece); return nil }
-func (s *fakeSink) Flush() error                              { return nil }
+func (s *fakeSink) Refuse(r Refusal) { s.status, s.refusal = r.Status, &r }
+func (s *fakeSink) WriteResponse(status int, _ http.Header, b []byte) {
+	s.status, s.text = status, string(b)
+}
+func (s *fakeSink) Begin(status int, _ http.Header) { s.status = status }
+func (s *fakeSink) WriteChunk(piece []byte) error   { s.text += string(piece); return nil }
+func (s *fakeSink) Flush() error                    { return nil }
 
 // fixture is a Core with engines that hold model "m".
 type fixture struct {
@@ -141,7 +143,7 @@
 // addEngine adds an engine that runs a script.
 func addEngine(f *fixture, id string, run script) {
 	f.upstreams.scripts[id] = run
-	f.instances[id] = &upstream.Instance{ID: id, Service: "engines", Slots: 8, Models: []upstream.Loaded{{Model: "m"}}}
+	f.instances[id] = &upstream.Instance{ID: id, Service: "engines", Slots: 8, Models: []upstream.LoadedModel{{Model: "m"}}}
 	var all []upstream.Instance
 	for _, i := range f.instances {
 		all = append(all, *i)
@@ -152,8 +154,8 @@
 func (f *fixture) serve(ctx context.Context, id string) (*fakeSink, error) {
 	sink := &fakeSink{}
 	err := f.core.Serve(ctx, &Request{
-		ID: id, Host: "h", Path: "/", Method: http.MethodPost, Arrived: time.Now(), Wait: 20 * time.Second, Model: "m",
-		PromptTokens: 100, OutputTokens: 100, Counted: true,
+		ID: id, Host: "h", Path: "/", Method: http.MethodPost, Arrived: time.Now(), Timeout: 20 * time.Second, Model: "m",
+		PromptTokens: 100, OutputTokens: 100, TokensDeclared: true,
 	}, sink)
 	return sink, err
 }
--- a/internal/traffic/handover.go
+++ b/internal/traffic/handover.go
@@ -42,7 +42,7 @@
 // meanwhile.
 type handover struct {
 	job      *job
-	ask      assign.Ask
+	ask      assign.Request
 	instance string
 	// silenceTimeout is how long the upstream may send nothing, queuedTimeout the same for
 	// an engine that still sends events of other streams.
@@ -121,7 +121,7 @@
 // exchange should continue.
 func (h *handover) reserve(now time.Time) *assign.Choice {
 	o := &h.job.core.options
-	if now.Sub(h.lastEvent) < h.queuedTimeout && o.Assigner.Lives(h.instance, activityWindow, now) {
+	if now.Sub(h.lastEvent) < h.queuedTimeout && o.Assigner.RecentlyActive(h.instance, activityWindow, now) {
 		return nil
 	}
 	if h.job.deadline.Sub(now) < minTimeLeft {
@@ -131,7 +131,7 @@
 	if err != nil {
 		return nil
 	}
-	if !o.Budget.Take(h.job.service, o.VMs(), now) {
+	if !o.Budget.AllowRetry(h.job.service, o.VMs(), now) {
 		o.Assigner.Finish(choice, assign.Neutral, now)
 		return nil
 	}
--- a/internal/traffic/handover_test.go
+++ b/internal/traffic/handover_test.go
@@ -137,7 +137,7 @@
 			return broken
 		}
 		f := newFixture(resumable, map[string]script{"one": unresponsive, "two": unresponsive})
-		for f.core.options.Budget.Take("engines", 1, time.Now()) {
+		for f.core.options.Budget.AllowRetry("engines", 1, time.Now()) {
 		}
 		_, err := f.serve(t.Context(), "a")
 		require.ErrorIs(t, err, ErrTruncated)
--- a/internal/traffic/job.go
+++ b/internal/traffic/job.go
@@ -54,7 +54,7 @@
 	// have run it.
 	sends, possibleRuns int
 	avoid               map[string]bool
-	parts               []assign.Part
+	parts               []assign.Prefix
 	// lastEventID is the ID of the last event forwarded; responseBegun means that a
 	// response was begun.
 	lastEventID   string
@@ -87,7 +87,7 @@
 }
 
 func (j *job) setDeadlines() {
-	wait := j.request.Wait
+	wait := j.request.Timeout
 	if j.route.Timeout > 0 && (wait == 0 || j.route.Timeout < wait) {
 		wait = j.route.Timeout
 	}
@@ -164,7 +164,7 @@
 	silence := j.watchSilence(choice, cancel)
 	defer func() { j.reserved = silence.stop() }()
 	reply, err := j.core.options.Upstreams.Send(inner, Attempt{
-		Request: j.request, Instance: instance, Team: j.team, Left: time.Until(j.deadline),
+		Request: j.request, Instance: instance, Team: j.team, TimeLeft: time.Until(j.deadline),
 		Priority: j.enginePriority(choice), ResumeAfter: j.lastEventID,
 	})
 	if err != nil {
@@ -176,7 +176,7 @@
 	j.possibleRuns++
 	if reply.Status/100 == 2 && !reply.Signed {
 		reply.Close(false)
-		return j.failedBy(choice, errors.Wrapf(ErrForeignReply, "%s: successful response without the upstream's signature", choice.Instance))
+		return j.failedBy(choice, errors.Wrapf(ErrMismatchedReply, "%s: successful response without the upstream's signature", choice.Instance))
 	}
 	if j.route.Kind == catalog.Streaming && reply.Status == http.StatusOK {
 		silence.noteEvent(time.Now())
@@ -241,7 +241,7 @@
 		j.core.options.Assigner.RemoveItem(choice.Instance, j.request.Model, j.request.Adapter)
 	default:
 		j.avoidInstance(choice.Instance)
-		j.core.options.Assigner.TurnedAway(choice.Instance, j.request.Model, time.Now())
+		j.core.options.Assigner.RecordRejection(choice.Instance, j.request.Model, time.Now())
 	}
 	j.finish(choice, assign.Neutral)
 	return &failure{kind: notExecuted, err: errors.Wrapf(ErrRefused, "%s: status %d", choice.Instance, reply.Status)}
@@ -269,7 +269,7 @@
 	}
 	j.finish(choice, assign.Succeeded)
 	j.outcome, j.status = outcomeAnswered, reply.Status
-	j.sink.Whole(reply.Status, reply.Header, body)
+	j.sink.WriteResponse(reply.Status, reply.Header, body)
 	return nil
 }
 
@@ -314,7 +314,7 @@
 	if j.possibleRuns > 0 && (!j.route.Repeatable() || j.possibleRuns >= j.route.Attempts) {
 		return false
 	}
-	return j.core.options.Budget.Take(j.service, j.core.options.VMs(), time.Now())
+	return j.core.options.Budget.AllowRetry(j.service, j.core.options.VMs(), time.Now())
 }
 
 // endUnanswered ends a request for which no upstream gave a successful response. It tells
@@ -322,7 +322,7 @@
 func (j *job) endUnanswered(ctx context.Context, err error) error {
 	j.cause = err
 	if j.possibleRuns == 0 && j.team != "" {
-		j.core.options.Limiter.Return(j.team, j.units)
+		j.core.options.Limiter.Refund(j.team, j.units)
 	}
 	if errors.Is(ctx.Err(), context.Canceled) {
 		j.outcome = outcomeCallerLeft
@@ -334,7 +334,7 @@
 	}
 	if j.failureReply != nil {
 		j.outcome, j.status = outcomeFailed, j.failureReply.status
-		j.sink.Whole(j.failureReply.status, j.failureReply.header, j.failureReply.body)
+		j.sink.WriteResponse(j.failureReply.status, j.failureReply.header, j.failureReply.body)
 		return nil
 	}
 	refusal := j.refusal(ctx, err)
@@ -358,7 +358,7 @@
 	}
 	var refused *assign.Refused
 	if errors.As(err, &refused) {
-		out.RetryAfter, j.expected = refused.RetryAfter, refused.Best
+		out.RetryAfter, j.expected = refused.RetryAfter, refused.EarliestStart
 	}
 	return out
 }
@@ -373,7 +373,7 @@
 		return "model_not_loaded"
 	case errors.Is(err, assign.ErrAdapterNotLoaded):
 		return "adapter_not_loaded"
-	case errors.Is(err, assign.ErrOverloaded), errors.Is(err, assign.ErrPaced):
+	case errors.Is(err, assign.ErrOverloaded), errors.Is(err, assign.ErrPrefillPaced):
 		return "overloaded"
 	case errors.Is(err, ErrRefused):
 		return "upstream_refused"
--- a/internal/traffic/log.go
+++ b/internal/traffic/log.go
@@ -36,8 +36,8 @@
 	c.options.Log.Info().Str("event", "request_sent").Str("request", j.request.ID).Int("send", j.sends).
 		Str("route", j.route.Name).Str("team", j.team).Str("service", j.service).Str("upstream", choice.Instance).
 		Str("model", j.request.Model).Str("adapter", j.request.Adapter).Int("prompt", j.request.PromptTokens).
-		Int("uncached", choice.Uncached).Int("beside", choice.Beside.Requests).Int("beside_others", choice.Beside.Others).
-		Int("prefill_ahead", choice.Beside.PrefillTokens).Dur("report_age_ms", choice.Beside.ReportAge).Dur("expected_ms", choice.Expected).Bool("late", choice.Late).
+		Int("uncached", choice.Uncached).Int("beside", choice.KnownLoad.Requests).Int("beside_others", choice.KnownLoad.PeerRequests).
+		Int("prefill_ahead", choice.KnownLoad.PrefillTokens).Dur("report_age_ms", choice.KnownLoad.ReportAge).Dur("expected_ms", choice.Expected).Bool("late", choice.Late).
 		Dur("held_ms", time.Since(j.request.Arrived)).Dur("left_ms", time.Until(j.deadline)).
 		Str("resume_after", j.lastEventID).Dur("upstreams_age_ms", c.options.UpstreamsAge()).
 		Int64("configuration", j.catalog.Version).Send()
--- a/internal/traffic/request.go
+++ b/internal/traffic/request.go
@@ -32,14 +32,14 @@
 	Key string
 	// Arrived is the time at which the request was read.
 	Arrived time.Time
-	// Wait is the caller's timeout, counted from Arrived. Zero means that it sent none.
-	Wait time.Duration
+	// Timeout is the caller's timeout, counted from Arrived. Zero means that it sent none.
+	Timeout time.Duration
 	// Model and Adapter are empty for plain services, Adapter also for base models.
 	Model, Adapter string
 	// PromptTokens is the size of the prompt and OutputTokens the largest number of
 	// tokens that may be generated. Counted means that the caller sent both.
 	PromptTokens, OutputTokens int
-	Counted                    bool
+	TokensDeclared             bool
 	// Parts holds the parts of the prompt in order.
 	Parts []PromptPart
 	// LengthHint is the caller's estimate of the number of generated tokens, 0 if none.
@@ -62,8 +62,8 @@
 	// Team is the name of the team that holds the request's key, empty on anonymous
 	// routes.
 	Team string
-	// Left is the time left until the request's deadline.
-	Left time.Duration
+	// TimeLeft is the time left until the request's deadline.
+	TimeLeft time.Duration
 	// Priority ranges from 0, the most urgent, to 9. Only engines use it.
 	Priority int
 	// ResumeAfter is the ID of the last event that the caller has received, empty for
@@ -95,15 +95,15 @@
 	ErrNotSent = errors.New("traffic: the request was not sent")
 	// ErrUnknown means that the request was sent and may or may not have run.
 	ErrUnknown = errors.New("traffic: the request may have run")
-	// ErrForeignReply means that the upstream sent the response to another request. The
+	// ErrMismatchedReply means that the upstream sent the response to another request. The
 	// request itself may have run.
-	ErrForeignReply = errors.New("traffic: the answer belongs to another request")
+	ErrMismatchedReply = errors.New("traffic: the answer belongs to another request")
 	// ErrTruncated means that a response ended before it was complete. What the caller
 	// has received must not look complete.
 	ErrTruncated = errors.New("traffic: the response was truncated")
 )
 
-// Upstreams sends attempts. Errors are ErrNotSent, ErrUnknown or ErrForeignReply,
+// Upstreams sends attempts. Errors are ErrNotSent, ErrUnknown or ErrMismatchedReply,
 // wrapped. Cancelling ctx closes the connection at once.
 type Upstreams interface {
 	Send(ctx context.Context, a Attempt) (*Reply, error)
@@ -123,11 +123,11 @@
 type Sink interface {
 	// Refuse writes a refusal of this VM.
 	Refuse(r Refusal)
-	// Whole writes an upstream's complete response.
-	Whole(status int, header http.Header, body []byte)
+	// WriteResponse writes an upstream's complete response.
+	WriteResponse(status int, header http.Header, body []byte)
 	// Begin starts an upstream's response whose body follows in calls of Pass.
 	Begin(status int, header http.Header)
-	// Pass writes a piece of the body. It reaches the caller after Flush.
-	Pass(piece []byte) error
+	// WriteChunk writes a piece of the body. It reaches the caller after Flush.
+	WriteChunk(piece []byte) error
 	Flush() error
 }
--- a/internal/traffic/starting_test.go
+++ b/internal/traffic/starting_test.go
@@ -40,7 +40,7 @@
 		for _, wait := range []time.Duration{0, time.Second} {
 			began := time.Now()
 			sink := &fakeSink{}
-			require.NoError(t, f.core.Serve(t.Context(), &Request{ID: "a", Host: "h", Path: "/", Arrived: began, Wait: wait}, sink))
+			require.NoError(t, f.core.Serve(t.Context(), &Request{ID: "a", Host: "h", Path: "/", Arrived: began, Timeout: wait}, sink))
 			require.Equal(t, http.StatusServiceUnavailable, sink.status)
 			held := startingHold
 			if wait > 0 {
--- a/internal/traffic/stream.go
+++ b/internal/traffic/stream.go
@@ -50,7 +50,7 @@
 		j.pauses.noteEvent(now, j.lastEventID)
 		if now.Sub(reportedAt) > activityInterval {
 			reportedAt = now
-			j.core.options.Assigner.Heard(choice, now)
+			j.core.options.Assigner.RecordActivity(choice, now)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 		j.sink.Begin(reply.Status, reply.Header)
 	}
 	j.noteStarted(choice)
-	if err := j.sink.Pass(event); err != nil {
+	if err := j.sink.WriteChunk(event); err != nil {
 		return err
 	}
 	if bytes.Contains(bufferedBytes(reader), eventEnd) {
@@ -86,7 +86,7 @@
 		j.responseBegun = true
 		j.sink.Begin(reply.Status, reply.Header)
 	}
-	j.core.options.Assigner.Streamed(choice, j.pauses.count, j.pauses.lastAt.Sub(j.pauses.firstAt), j.pauses.longest)
+	j.core.options.Assigner.RecordStream(choice, j.pauses.count, j.pauses.lastAt.Sub(j.pauses.firstAt), j.pauses.longest)
 	j.finish(choice, assign.Succeeded)
 	j.outcome, j.status = outcomeAnswered, reply.Status
 	return nil
--- a/internal/upstream/instance.go
+++ b/internal/upstream/instance.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Loaded is a model that an engine holds, with its adapters.
-type Loaded struct {
+// LoadedModel is a model that an engine holds, with its adapters.
+type LoadedModel struct {
 	Model    string
 	Version  int64
 	Adapters []string
@@ -16,9 +16,9 @@
 type Instance struct {
 	// ID identifies the instance. An instance that restarts may keep its ID.
 	ID string
-	// Born distinguishes incarnations with the same ID: milliseconds since 1970.
+	// Incarnation distinguishes incarnations with the same ID: milliseconds since 1970.
 	// Zero means that the instance does not publish it.
-	Born          int64
+	Incarnation   int64
 	Service       string
 	Address       string
 	FailureDomain string
@@ -26,11 +26,11 @@
 	Slots int
 	// Draining instances accept no new requests.
 	Draining bool
-	// LeavesIn is the longest time that a draining instance has left, counted from
+	// DrainTimeLeft is the longest time that a draining instance has left, counted from
 	// when it published this. Zero means that it publishes none.
-	LeavesIn time.Duration
+	DrainTimeLeft time.Duration
 	// Models lists the models that an engine holds.
-	Models []Loaded
+	Models []LoadedModel
 	// InMemory and OnDisk list the models whose weights an engine can load from its
 	// memory or its disk, without the weight store.
 	InMemory, OnDisk []string
@@ -39,13 +39,13 @@
 	OrdersAccepted int64
 }
 
-// Same reports whether two descriptions belong to the same incarnation.
-func (i *Instance) Same(other *Instance) bool {
-	return i.ID == other.ID && i.Born == other.Born && i.Address == other.Address
+// SameIncarnation reports whether two descriptions belong to the same incarnation.
+func (i *Instance) SameIncarnation(other *Instance) bool {
+	return i.ID == other.ID && i.Incarnation == other.Incarnation && i.Address == other.Address
 }
 
-// Holds reports whether an engine holds a model.
-func (i *Instance) Holds(model string) bool {
+// HoldsModel reports whether an engine holds a model.
+func (i *Instance) HoldsModel(model string) bool {
 	for _, l := range i.Models {
 		if l.Model == model {
 			return true
@@ -54,12 +54,12 @@
 	return false
 }
 
-// HoldsSame reports whether two descriptions have the same models and adapters and the same
+// SameContents reports whether two descriptions have the same models and adapters and the same
 // number of accepted orders.
-func (i *Instance) HoldsSame(other *Instance) bool {
-	return i.OrdersAccepted == other.OrdersAccepted && slices.EqualFunc(i.Models, other.Models, Loaded.equal)
+func (i *Instance) SameContents(other *Instance) bool {
+	return i.OrdersAccepted == other.OrdersAccepted && slices.EqualFunc(i.Models, other.Models, LoadedModel.equal)
 }
 
-func (l Loaded) equal(other Loaded) bool {
+func (l LoadedModel) equal(other LoadedModel) bool {
 	return l.Model == other.Model && l.Version == other.Version && slices.Equal(l.Adapters, other.Adapters)
 }
--- a/internal/vm/adapters.go
+++ b/internal/vm/adapters.go
@@ -20,9 +20,9 @@
 	err      error
 }
 
-// ensure makes sure that an engine holds an adapter and returns the engine's ID. Concurrent calls
+// ensureAdapter makes sure that an engine holds an adapter and returns the engine's ID. Concurrent calls
 // for the same adapter share one load.
-func (l *planner) ensure(ctx context.Context, service, model, adapter string) (string, error) {
+func (l *planner) ensureAdapter(ctx context.Context, service, model, adapter string) (string, error) {
 	item := residency.Item(model, adapter)
 	l.mu.Lock()
 	if pending := l.pendingAdapters[item]; pending != nil {
@@ -119,13 +119,13 @@
 // other leader or not its address.
 func (p *Process) ensureAdapter(ctx context.Context, service, model, adapter string) (string, error) {
 	if _, ok := p.candidate.Authority(); ok {
-		return p.planner.ensure(ctx, service, model, adapter)
+		return p.planner.ensureAdapter(ctx, service, model, adapter)
 	}
 	term, ok := p.candidate.Leader()
 	if !ok || term.VM == p.settings.VM {
 		return "", errors.WithStack(ErrNotLeader)
 	}
-	address, ok := p.fleet.peerOf(term.VM)
+	address, ok := p.fleet.peerAddressOf(term.VM)
 	if !ok {
 		return "", errors.WithStack(ErrNotLeader)
 	}
--- a/internal/vm/aggregator.go
+++ b/internal/vm/aggregator.go
@@ -68,12 +68,12 @@
 func (a *aggregator) applyReport(r *peerpb.VMReport, sameDomain bool, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.loads.Take(r.Vm, sameDomain, r.Since == 0, loadsFromProto(r.Engines), now) {
+	if !a.loads.Record(r.Vm, sameDomain, r.Since == 0, loadsFromProto(r.Engines), now) {
 		return false
 	}
-	a.admitted.Take(r.Vm, r.Incarnation, sameDomain, toCounts(r.Admitted), now)
-	a.asked.Take(r.Vm, r.Incarnation, sameDomain, toCounts(r.Asked), now)
-	a.demand.Take(r.Vm, r.Incarnation, sameDomain, demandFromProto(r.Demand), now)
+	a.admitted.Record(r.Vm, r.Incarnation, sameDomain, toCounts(r.Admitted), now)
+	a.asked.Record(r.Vm, r.Incarnation, sameDomain, toCounts(r.Asked), now)
+	a.demand.Record(r.Vm, r.Incarnation, sameDomain, demandFromProto(r.Demand), now)
 	a.inUse[r.Vm] = adaptersInUse{at: now, sameDomain: sameDomain, items: r.InUse}
 	return true
 }
@@ -113,7 +113,7 @@
 func (a *aggregator) fillReport(out *peerpb.VMReport, scope topology.Scope, receiver string, since uint64, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if since > a.version.Number() || !a.loads.Known(since) || !a.roster.covers(since) {
+	if since > a.version.Number() || !a.loads.RetainsChangesSince(since) || !a.roster.covers(since) {
 		since = 0
 	}
 	covered := min(scope, topology.ScopeAll)
@@ -137,7 +137,7 @@
 // loadForScope returns the part of a load that reports of a scope carry.
 func loadForScope(l assign.Load, scope topology.Scope) assign.Load {
 	if scope != topology.ScopeOwn {
-		l.ReadTotal = 0
+		l.PrefillTotal = 0
 	}
 	if scope == topology.ScopeAll {
 		l.Running = nil
@@ -184,7 +184,7 @@
 func loadToProto(instance string, l assign.Load) *peerpb.EngineLoad {
 	out := &peerpb.EngineLoad{
 		Instance: instance, PrefillTokens: int64(l.PrefillTokens), KvTokens: int64(l.KVTokens), Requests: int32(l.Requests),
-		ReadTotalUs: l.ReadTotal.Microseconds(),
+		ReadTotalUs: l.PrefillTotal.Microseconds(),
 		Running:     make(map[string]int32, len(l.Running)),
 	}
 	for model, n := range l.Running {
@@ -200,8 +200,8 @@
 	for _, e := range engines {
 		l := assign.Load{
 			Requests: int(e.Requests), PrefillTokens: int(e.PrefillTokens), KVTokens: int(e.KvTokens),
-			ReadTotal: time.Duration(e.ReadTotalUs) * time.Microsecond,
-			Running:   make(map[string]int, len(e.Running)),
+			PrefillTotal: time.Duration(e.ReadTotalUs) * time.Microsecond,
+			Running:      make(map[string]int, len(e.Running)),
 		}
 		for model, n := range e.Running {
 			l.Running[model] = int(n)
--- a/internal/vm/change_log.go
+++ b/internal/vm/change_log.go
@@ -9,7 +9,7 @@
 // changeLog numbers the changes of a view, so that other VMs can be sent only what they lack.
 // The store's revisions would not do: a key that is kept for a while after the store has
 // removed it changes here when it leaves the view.
-type changes struct {
+type changeLog struct {
 	// number is the number of the newest change.
 	number int64
 	// lastChange is the number of the last change by key.
@@ -26,12 +26,12 @@
 	number int64
 }
 
-func newChanges() *changes {
-	return &changes{lastChange: make(map[string]int64), nextChange: make(chan struct{})}
+func newChangeLog() *changeLog {
+	return &changeLog{lastChange: make(map[string]int64), nextChange: make(chan struct{})}
 }
 
 // record adds the difference between two states of the view.
-func (c *changes) note(old, next map[string]store.Item) {
+func (c *changeLog) record(old, next map[string]store.Item) {
 	number, changed := c.number+1, false
 	for key, item := range next {
 		if before, ok := old[key]; !ok || before.Revision != item.Revision {
@@ -53,7 +53,7 @@
 	c.nextChange = make(chan struct{})
 }
 
-func (c *changes) compact() {
+func (c *changeLog) compact() {
 	if excess := len(c.removed) - maxRemovals; excess > 0 {
 		c.compactedNumber = c.removed[excess-1].number
 		c.removed = c.removed[excess:]
@@ -62,7 +62,7 @@
 
 // since returns the keys that have changed and those that were removed since a change number.
 // It returns false if these are no longer known, so that the whole view has to be sent.
-func (c *changes) since(number int64) (changed, removed []string, known bool) {
+func (c *changeLog) since(number int64) (changed, removed []string, known bool) {
 	if number <= 0 || number < c.compactedNumber || number > c.number {
 		return nil, nil, false
 	}
--- a/internal/vm/cluster_test.go
+++ b/internal/vm/cluster_test.go
@@ -67,7 +67,7 @@
 
 func (c *cluster) setReplicaState(id, state string) { c.putReplica(id, state, "m0") }
 
-func (c *cluster) describeModels(id string, models ...string) { c.putReplica(id, "ready", models...) }
+func (c *cluster) setReplicaModels(id string, models ...string) { c.putReplica(id, "ready", models...) }
 
 func (c *cluster) putReplica(id, state string, models ...string) {
 	service, _, _ := strings.Cut(id, "-")
@@ -254,7 +254,7 @@
 	return got
 }
 
-func words(ids ...int) string {
+func sseBody(ids ...int) string {
 	var out strings.Builder
 	for _, i := range ids {
 		fmt.Fprintf(&out, "id: %d\ndata: word%d\n\n", i, i)
--- a/internal/vm/contents.go
+++ b/internal/vm/contents.go
@@ -89,9 +89,9 @@
 // exceed the time of an exchange over a narrow link, and the next one would be as large.
 const maxReportedEngines = 1000
 
-// describe adds the contents that the receiver was not sent yet to a report, up to
+// addUnsent adds the contents that the receiver was not sent yet to a report, up to
 // maxReportedEngines.
-func (c *contentsTable) describe(out *peerpb.VMReport, receiver string) {
+func (c *contentsTable) addUnsent(out *peerpb.VMReport, receiver string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.token == 0 {
@@ -118,9 +118,9 @@
 	c.sent[receiver] = next
 }
 
-// forget makes the next reports to a VM start from the whole table: the VM may not have received
+// forgetSent makes the next reports to a VM start from the whole table: the VM may not have received
 // the last one.
-func (c *contentsTable) forget(vm string) {
+func (c *contentsTable) forgetSent(vm string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.sent, vm)
@@ -149,8 +149,8 @@
 	l.updateAssigner(engines)
 }
 
-// hearContents applies the engine contents of another VM's report, unless this VM leads.
-func (l *planner) hearContents(r *peerpb.VMReport) {
+// applyContents applies the engine contents of another VM's report, unless this VM leads.
+func (l *planner) applyContents(r *peerpb.VMReport) {
 	l.mu.Lock()
 	leading := l.token != 0
 	l.mu.Unlock()
--- a/internal/vm/contents_test.go
+++ b/internal/vm/contents_test.go
@@ -23,17 +23,17 @@
 	leader.set(7, all)
 	sendReport := func() {
 		out := &peerpb.VMReport{}
-		leader.describe(out, "vm-2")
+		leader.addUnsent(out, "vm-2")
 		require.LessOrEqual(t, len(out.Contents), maxReportedEngines)
 		follower.merge(out.LeaderToken, out.Contents)
 	}
 	sendReport()
-	leader.forget("vm-2")
+	leader.forgetSent("vm-2")
 	for range engines / maxReportedEngines {
 		sendReport()
 	}
 	require.Len(t, follower.engines, engines)
 	out := &peerpb.VMReport{}
-	leader.describe(out, "vm-2")
+	leader.addUnsent(out, "vm-2")
 	require.Empty(t, out.Contents, "everything was sent already")
 }
--- a/internal/vm/departures.go
+++ b/internal/vm/departures.go
@@ -38,11 +38,11 @@
 func newDepartures() *departures { return &departures{byIncarnation: make(map[string]*departure)} }
 
 func incarnationOf(i *upstream.Instance) string {
-	return i.ID + "@" + strconv.FormatInt(i.Born, 10) + "@" + i.Address
+	return i.ID + "@" + strconv.FormatInt(i.Incarnation, 10) + "@" + i.Address
 }
 
 // record notes that an incarnation is draining or gone.
-func (d *departures) left(name string, draining bool, now time.Time) {
+func (d *departures) record(name string, draining bool, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if old := d.byIncarnation[name]; old != nil {
@@ -60,7 +60,7 @@
 // excluded reports whether an incarnation must get no work although its entry says that it is
 // ready. storeDown says that the store was unavailable a moment ago, so that leases of live
 // instances may have lapsed.
-func (d *departures) barred(name string, revision int64, storeDown bool) bool {
+func (d *departures) excluded(name string, revision int64, storeDown bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e := d.byIncarnation[name]
--- a/internal/vm/departures_test.go
+++ b/internal/vm/departures_test.go
@@ -11,11 +11,11 @@
 // entry says ready again; requests sent there would be cut off when the instance exits.
 func TestLateHeartbeatDoesNotReviveADrainingInstance(t *testing.T) {
 	d, now := newDepartures(), time.Now()
-	d.left("i@1", true, now)
+	d.record("i@1", true, now)
 	for revision := range int64(5) {
-		require.True(t, d.barred("i@1", 10+revision, true))
+		require.True(t, d.excluded("i@1", 10+revision, true))
 	}
-	require.False(t, d.barred("i@2", 10, false), "another incarnation must not be excluded")
+	require.False(t, d.excluded("i@2", 10, false), "another incarnation must not be excluded")
 }
 
 // An instance is cut off from the store for a while and its entry is removed. When it keeps
@@ -23,15 +23,15 @@
 // may be a delayed heartbeat.
 func TestInstanceThatWritesOnCountsAgain(t *testing.T) {
 	d, now := newDepartures(), time.Now()
-	d.left("i@1", false, now)
-	require.True(t, d.barred("i@1", 10, false))
-	require.True(t, d.barred("i@1", 10, false))
-	require.False(t, d.barred("i@1", 11, false))
+	d.record("i@1", false, now)
+	require.True(t, d.excluded("i@1", 10, false))
+	require.True(t, d.excluded("i@1", 10, false))
+	require.False(t, d.excluded("i@1", 11, false))
 }
 
 // Leases ran out while the store was unavailable. Instances whose entries come back are live.
 func TestEntriesThatLapsedInAnOutageComeBackAtOnce(t *testing.T) {
 	d, now := newDepartures(), time.Now()
-	d.left("i@1", false, now)
-	require.False(t, d.barred("i@1", 10, true))
+	d.record("i@1", false, now)
+	require.False(t, d.excluded("i@1", 10, true))
 }
--- a/internal/vm/dispatch_notifier.go
+++ b/internal/vm/dispatch_notifier.go
@@ -155,7 +155,7 @@
 	known := m != nil && m.Incarnation == in.Incarnation && f.plan != nil && f.plan.Mesh
 	f.mu.Unlock()
 	if known {
-		s.process.assigner.HearSent(in.Vm, loadsFromProto(in.Engines), time.Now())
+		s.process.assigner.UpdatePeerLoads(in.Vm, loadsFromProto(in.Engines), time.Now())
 	}
 	return &peerpb.SentResponse{}, nil
 }
--- a/internal/vm/exchange.go
+++ b/internal/vm/exchange.go
@@ -18,7 +18,7 @@
 )
 
 // exchangeNow triggers an exchange with all partners without waiting for the next tick.
-func (f *fleet) announce() {
+func (f *fleet) exchangeNow() {
 	select {
 	case f.exchangeSignal <- struct{}{}:
 	default:
@@ -74,7 +74,7 @@
 		return hub == nil || hub.failedExchanges > 0 || now.Sub(m.lastExchange) >= standbyInterval
 	}
 	overdue := now.Sub(later(m.lastReport, m.firstSeen)) > peerTimeout/2
-	return partner.Call || overdue
+	return partner.Initiate || overdue
 }
 
 func (f *fleet) exchange(ctx context.Context, vm string) {
@@ -98,7 +98,7 @@
 	}
 	f.mu.Unlock()
 	if err != nil {
-		f.process.planner.contents.forget(vm)
+		f.process.planner.contents.forgetSent(vm)
 		return
 	}
 	f.applyReport(ctx, answer)
@@ -115,7 +115,7 @@
 	defer f.fetchingConfiguration.Store(false)
 	held := f.process.configuration()
 	answer := &peerpb.ConfigurationResponse{}
-	_, err := f.process.pool.Receive(ctx, address, exchangeTimeout, func(ctx context.Context, conn grpc.ClientConnInterface) (peer.Pieces, error) {
+	_, err := f.process.pool.ReceivePieces(ctx, address, exchangeTimeout, func(ctx context.Context, conn grpc.ClientConnInterface) (peer.PieceStream, error) {
 		return peerpb.NewVMsClient(conn).Configuration(ctx, &peerpb.ConfigurationRequest{HaveRevision: held.Revision})
 	}, answer)
 	if err != nil || answer.Item == nil {
@@ -165,7 +165,7 @@
 
 // EnsureAdapter implements peerpb.VMsServer.
 func (s *vmServer) EnsureAdapter(ctx context.Context, in *peerpb.EnsureAdapterRequest) (*peerpb.EnsureAdapterResponse, error) {
-	instance, err := s.process.planner.ensure(ctx, in.Service, in.Model, in.Adapter)
+	instance, err := s.process.planner.ensureAdapter(ctx, in.Service, in.Model, in.Adapter)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/vm/fleet.go
+++ b/internal/vm/fleet.go
@@ -18,7 +18,7 @@
 
 const (
 	// vmPrefix is the prefix of registration keys; a VM's ID follows.
-	vmPrefix = ownPrefix + "vms/"
+	vmPrefix = projectPrefix + "vms/"
 	// registrationLease is how long a VM that died stays registered. When all VMs restart at
 	// once, they learn the size of the fleet from these entries before the others have
 	// registered again.
@@ -140,7 +140,7 @@
 	for ctx.Err() == nil {
 		if lease == 0 {
 			lease = f.createRegistration(ctx)
-		} else if err := f.process.store.Renew(ctx, lease); errors.Is(err, store.ErrLeaseGone) {
+		} else if err := f.process.store.Renew(ctx, lease); errors.Is(err, store.ErrLeaseEnded) {
 			lease = 0
 			continue
 		}
@@ -202,7 +202,7 @@
 		}
 		if m == nil || m.Incarnation != r.Incarnation {
 			m = &member{firstSeen: now, ready: true}
-			f.process.planner.contents.forget(vm)
+			f.process.planner.contents.forgetSent(vm)
 			f.members[vm] = m
 			added = append(added, vm)
 		}
@@ -368,7 +368,7 @@
 }
 
 // peerAddressOf returns the address for peers of another VM.
-func (f *fleet) peerOf(vm string) (string, bool) {
+func (f *fleet) peerAddressOf(vm string) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[vm]
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -43,14 +43,14 @@
 	// staleDivisor divides the time in which a configuration has to be in force, which gives
 	// the largest age at which a hub's view is followed. The rest is for detecting a stale
 	// hub and reading the store.
-	staleShare = 2
+	staleDivisor = 2
 	// hubPauseDivisor divides the same time, which gives the pause between two watches of a
 	// hub. The pause has to be well below the largest age.
-	hubPauseShare = 8
+	hubPauseDivisor = 8
 )
 
 // hubClient is a tracker's access to hubs.
-type relay struct {
+type hubClient struct {
 	// hubs returns the addresses of the hubs to follow, in order of preference; none if this
 	// VM has to watch the store.
 	hubs func() []string
@@ -59,13 +59,13 @@
 }
 
 // hubBackoff is how long a hub that has failed is not followed, and until when.
-type avoidance struct {
+type hubBackoff struct {
 	duration time.Duration
 	until    time.Time
 }
 
 // usableHub returns the first hub that is not in backoff.
-func (t *tracker) mayFollow(now time.Time) (address string, ok bool) {
+func (t *tracker) usableHub(now time.Time) (address string, ok bool) {
 	hubs := t.relay.hubs()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -83,7 +83,7 @@
 	if len(t.relay.hubs()) == 0 {
 		return false
 	}
-	_, follows := t.mayFollow(time.Now())
+	_, follows := t.usableHub(time.Now())
 	return !follows
 }
 
@@ -113,7 +113,7 @@
 			in = &peerpb.FollowRequest{Incarnation: answer.Incarnation, Change: answer.Change}
 		}
 		sleep(ctx, followPause)
-		next, ok := t.mayFollow(time.Now())
+		next, ok := t.usableHub(time.Now())
 		if !ok {
 			return
 		}
@@ -129,11 +129,11 @@
 	age := time.Duration(answer.AgeMs) * time.Millisecond
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if age > t.stale {
+	if age > t.maxHubViewAge {
 		return false, errors.Wrapf(ErrHubStale, "view is %v old", age)
 	}
 	if answer.Revision < t.view.revision {
-		if now.Sub(t.fresh) > t.stale {
+		if now.Sub(t.completeAt) > t.maxHubViewAge {
 			return false, errors.Wrapf(ErrHubStale, "hub is at revision %d, this VM at revision %d", answer.Revision, t.view.revision)
 		}
 		return false, nil
@@ -144,7 +144,7 @@
 	if err := t.merge(answer, now); err != nil {
 		return false, err
 	}
-	t.fresh = now.Add(-age)
+	t.completeAt = now.Add(-age)
 	return true, nil
 }
 
@@ -196,8 +196,8 @@
 		}
 	}
 	pause := min(max(hubBackoffMin, 2*t.avoided[address].duration), hubBackoffMax)
-	t.avoided[address] = avoidance{duration: pause, until: time.Now().Add(pause)}
-	t.log.Warn().Str("event", "hub_lost").Str("peers", address).AnErr("cause", err).Dur("age_ms", time.Since(t.fresh)).
+	t.avoided[address] = hubBackoff{duration: pause, until: time.Now().Add(pause)}
+	t.log.Warn().Str("event", "hub_lost").Str("peers", address).AnErr("cause", err).Dur("age_ms", time.Since(t.completeAt)).
 		Dur("avoided_ms", pause).Send()
 }
 
@@ -241,7 +241,7 @@
 	}
 	out := &peerpb.FollowResponse{
 		Incarnation: incarnation, Change: t.changes.number, Revision: t.view.revision,
-		AgeMs: time.Since(t.fresh).Milliseconds(), FailedMs: -1,
+		AgeMs: time.Since(t.completeAt).Milliseconds(), FailedMs: -1,
 	}
 	if !t.failedAt.IsZero() {
 		out.FailedMs = time.Since(t.failedAt).Milliseconds()
@@ -279,7 +279,7 @@
 // callHub requests the changes of a hub's view.
 func (p *Process) callHub(ctx context.Context, address string, in *peerpb.FollowRequest) (*peerpb.FollowResponse, time.Duration, error) {
 	answer := &peerpb.FollowResponse{}
-	took, err := p.pool.Receive(ctx, address, followTimeout, func(ctx context.Context, conn grpc.ClientConnInterface) (peer.Pieces, error) {
+	took, err := p.pool.ReceivePieces(ctx, address, followTimeout, func(ctx context.Context, conn grpc.ClientConnInterface) (peer.PieceStream, error) {
 		return peerpb.NewVMsClient(conn).Follow(ctx, in)
 	}, answer)
 	return answer, took, err
--- a/internal/vm/follow_test.go
+++ b/internal/vm/follow_test.go
@@ -38,10 +38,10 @@
 // as well.
 func TestVMsFollowTheirHubAndDoWithoutIt(t *testing.T) {
 	c := newCluster(t, standin.NewReplica("clerk-1", 0), standin.NewReplica("clerk-2", 0))
-	for i := range pauseFleet + 2 {
+	for i := range minPauseMaxVMs + 2 {
 		c.startIn(fmt.Sprintf("vm-%02d", i), fmt.Sprint(i%2))
 	}
-	c.eventually(func() bool { return c.nonWatchingVMs() == pauseFleet })
+	c.eventually(func() bool { return c.nonWatchingVMs() == minPauseMaxVMs })
 	c.configure(nil)
 	c.setReplicaState("clerk-2", "draining")
 	for _, v := range c.vms {
@@ -50,10 +50,10 @@
 	}
 	c.vms[0].storeRefuses.Store(true)
 	behind := c.vms[2:]
-	c.eventually(func() bool { return c.backingOff(behind, c.vms[0]) == pauseFleet/2 })
+	c.eventually(func() bool { return c.backingOff(behind, c.vms[0]) == minPauseMaxVMs/2 })
 	c.replaceKeys("another")
 	c.vms[1].storeRefuses.Store(true)
-	c.eventually(func() bool { return c.nonWatchingVMs() < pauseFleet-2 })
+	c.eventually(func() bool { return c.nonWatchingVMs() < minPauseMaxVMs-2 })
 	c.replaceKeys("a third")
 }
 
@@ -128,7 +128,7 @@
 // view as the current one.
 func TestStaleHubIsNotFollowed(t *testing.T) {
 	f := testTracker()
-	_, err := f.applyHubView(&peerpb.FollowResponse{Revision: 9, AgeMs: f.stale.Milliseconds() + 1, FailedMs: -1}, time.Now())
+	_, err := f.applyHubView(&peerpb.FollowResponse{Revision: 9, AgeMs: f.maxHubViewAge.Milliseconds() + 1, FailedMs: -1}, time.Now())
 	require.ErrorIs(t, err, ErrHubStale)
 }
 
@@ -138,8 +138,8 @@
 func TestAnswerThatTookLongIsTaken(t *testing.T) {
 	f := testTracker()
 	ctx, cancel := context.WithCancel(t.Context())
-	took := 2 * f.stale
-	f.relay = relay{
+	took := 2 * f.maxHubViewAge
+	f.relay = hubClient{
 		hubs: func() []string { return []string{"hub"} },
 		follow: func(context.Context, string, *peerpb.FollowRequest) (*peerpb.FollowResponse, time.Duration, error) {
 			cancel()
@@ -147,8 +147,8 @@
 		},
 	}
 	f.followHub(ctx, "hub")
-	require.Equal(t, int64(9), f.at())
-	require.GreaterOrEqual(t, f.age(), took)
+	require.Equal(t, int64(9), f.viewRevision())
+	require.GreaterOrEqual(t, f.viewAge(), took)
 	require.False(t, f.allHubsFailed())
 }
 
@@ -158,10 +158,10 @@
 // after all.
 func TestVMWhoseHubFailsFollowsAnotherDomains(t *testing.T) {
 	f := testTracker()
-	f.relay = relay{hubs: func() []string { return []string{"own", "far"} }}
+	f.relay = hubClient{hubs: func() []string { return []string{"own", "far"} }}
 	now := time.Now()
 	firstUsable := func(at time.Time) string {
-		hub, _ := f.mayFollow(at)
+		hub, _ := f.usableHub(at)
 		return hub
 	}
 	require.Equal(t, "own", firstUsable(now))
@@ -193,7 +193,7 @@
 	f := testTracker()
 	f.store = unavailableStore{}
 	ctx, cancel := context.WithCancel(t.Context())
-	f.relay = relay{
+	f.relay = hubClient{
 		hubs: func() []string { return []string{"hub"} },
 		follow: func(context.Context, string, *peerpb.FollowRequest) (*peerpb.FollowResponse, time.Duration, error) {
 			cancel()
@@ -201,17 +201,17 @@
 		},
 	}
 	require.NoError(t, f.run(ctx))
-	require.Equal(t, int64(9), f.at())
+	require.Equal(t, int64(9), f.viewRevision())
 }
 
 // The store refuses a third of three hundred VMs for nine seconds. Each of them retried seven
 // times a second, and the store had to answer every retry.
 func TestRetriesOfALargeFleetGrowRarer(t *testing.T) {
 	f := testTracker()
-	require.Equal(t, retryPause, f.retryAfter(0))
-	require.Equal(t, 2*f.hubPause, f.retryAfter(9))
-	f.vms = func() int { return pauseFleet }
-	require.Equal(t, retryPause, f.retryAfter(9))
+	require.Equal(t, minRetryPause, f.retryAfter(0))
+	require.Equal(t, 2*f.hubWatchPause, f.retryAfter(9))
+	f.vmCount = func() int { return minPauseMaxVMs }
+	require.Equal(t, minRetryPause, f.retryAfter(9))
 }
 
 // A VM has read the store itself when it returns to its hub, whose view is older. Its own
@@ -224,7 +224,7 @@
 	require.NoError(t, err)
 	require.False(t, applied)
 	require.Contains(t, f.view.items, "a")
-	_, err = f.applyHubView(behind, now.Add(f.stale+time.Second))
+	_, err = f.applyHubView(behind, now.Add(f.maxHubViewAge+time.Second))
 	require.ErrorIs(t, err, ErrHubStale, "a hub that does not catch up must not be followed")
 }
 
@@ -233,10 +233,10 @@
 // writes again as one that had left.
 func TestFollowerKnowsThatTheStoreWasAway(t *testing.T) {
 	f, now := testTracker(), time.Now()
-	require.False(t, f.awayWithin(now, revivalTime))
+	require.False(t, f.failedWithin(now, immediateReturnTime))
 	_, err := f.applyHubView(&peerpb.FollowResponse{Revision: 1, FailedMs: 1000}, now)
 	require.NoError(t, err)
-	require.True(t, f.awayWithin(now, revivalTime))
+	require.True(t, f.failedWithin(now, immediateReturnTime))
 }
 
 func TestVMThatFollowsIsNotFollowed(t *testing.T) {
@@ -246,7 +246,7 @@
 }
 
 func testTracker() *tracker {
-	return newTracker(nil, zerolog.Nop(), func(view) {}, func() int { return 60 }, 3*time.Second, relay{})
+	return newTracker(nil, zerolog.Nop(), func(view) {}, func() int { return 60 }, 3*time.Second, hubClient{})
 }
 
 // replaceViewByKey replaces the items of the view.
--- a/internal/vm/gauges.go
+++ b/internal/vm/gauges.go
@@ -18,13 +18,13 @@
 func (p *Process) updateGauges(ctx context.Context) error {
 	for ctx.Err() == nil {
 		p.setGauge("requests.pending", p.ingress.Pending())
-		p.setGauge("upstreams.age_ms", p.tracker.age().Milliseconds())
+		p.setGauge("upstreams.age_ms", p.tracker.viewAge().Milliseconds())
 		p.setGauge("upstreams.known", int64(len(*p.instances.Load())))
 		p.setGauge("vms.known", int64(p.fleet.size()))
 		p.setGauge("upstreams.connections_opened", p.replicas.Pool.Dials())
 		p.setGauge("configuration.revision", p.configuration().Revision)
 		p.setGauge("configuration.behind_ms", p.configurationLag.behind(time.Now()).Milliseconds())
-		p.setGauge("leadership.leads", boolToInt(p.candidate.Leads()))
+		p.setGauge("leadership.leads", boolToInt(p.candidate.HoldsLease()))
 		p.updateLoadGauges()
 		sleep(ctx, gaugeInterval)
 	}
@@ -47,7 +47,7 @@
 	metrics.GetOrRegisterGauge(name, p.metrics).Update(value)
 }
 
-func (p *Process) counter(name string) { p.addToCounter(name, 1) }
+func (p *Process) incrementCounter(name string) { p.addToCounter(name, 1) }
 
 func (p *Process) addToCounter(name string, by int64) {
 	metrics.GetOrRegisterCounter(name, p.metrics).Inc(by)
@@ -72,6 +72,6 @@
 	case call.Err != nil:
 		outcome = "refused"
 	}
-	p.counter("store_calls." + call.Name + "." + outcome)
+	p.incrementCounter("store_calls." + call.Name + "." + outcome)
 	p.addToCounter("store_calls."+call.Name+".received_bytes", call.Received)
 }
--- a/internal/vm/hubs_test.go
+++ b/internal/vm/hubs_test.go
@@ -86,7 +86,7 @@
 		}
 		for _, p := range plan.Partners {
 			j := s.index(p.Name)
-			if p.Call && !s.vms[i].Silent && !s.vms[j].Silent && !s.partitioned(i, j) {
+			if p.Initiate && !s.vms[i].Silent && !s.vms[j].Silent && !s.partitioned(i, j) {
 				s.report(i, j)
 				s.report(j, i)
 			}
@@ -111,7 +111,7 @@
 	r := &peerpb.VMReport{Vm: s.vms[from].Name, Incarnation: s.incarnations[from]}
 	demand := map[string]assign.Demand{"m": {Work: time.Duration(from) * time.Microsecond, Requests: 1}}
 	s.aggregators[from].setOwn(func() work {
-		return work{admitted: s.limiters[from].Admitted(), asked: s.limiters[from].Asked(), demand: demand}
+		return work{admitted: s.limiters[from].Admitted(), asked: s.limiters[from].Demand(), demand: demand}
 	}, s.now)
 	applied := s.applied[[2]int{to, from}]
 	if applied.scope != scope {
@@ -123,7 +123,7 @@
 		return
 	}
 	s.applied[[2]int{to, from}] = progress{scope, r.Version}
-	s.limiters[to].Report(r.Vm, r.Incarnation, r.Admitted, r.Asked, s.now)
+	s.limiters[to].ApplyReport(r.Vm, r.Incarnation, r.Admitted, r.Asked, s.now)
 }
 
 // step requests units from VMs chosen at random, as many per second as demand in total.
@@ -133,7 +133,7 @@
 	for expected := demand * tick.Seconds() / size; expected > 0 && r.Float64() < expected; expected-- {
 		i := r.IntN(len(s.vms))
 		s.asked += size
-		if ok, _ := s.limiters[i].Take("team", size, s.now); ok {
+		if ok, _ := s.limiters[i].Admit("team", size, s.now); ok {
 			total += size
 		} else {
 			s.refused += size
--- a/internal/vm/instances.go
+++ b/internal/vm/instances.go
@@ -55,7 +55,7 @@
 // setInstances updates the instances from a view of the store. Calls must not be concurrent.
 func (p *Process) setInstances(v view) {
 	now := time.Now()
-	storeFailed := p.tracker.awayWithin(now, revivalTime)
+	storeFailed := p.tracker.failedWithin(now, immediateReturnTime)
 	for _, err := range p.entries.update(v.items) {
 		p.log.Debug().Str("event", "instance_unreadable").AnErr("cause", err).Send()
 	}
@@ -66,25 +66,25 @@
 			continue
 		}
 		if i.Draining {
-			p.gone.left(entry.incarnation, true, now)
-		} else if p.gone.barred(entry.incarnation, entry.revision, storeFailed) {
+			p.departures.record(entry.incarnation, true, now)
+		} else if p.departures.excluded(entry.incarnation, entry.revision, storeFailed) {
 			i = asDraining(i)
 		}
 		next[i.ID] = i
 	}
 	for id, old := range *p.instances.Load() {
-		if i, ok := next[id]; !ok || !i.Same(old) {
-			p.gone.left(incarnationOf(old), false, now)
-			p.replicas.Pool.Forget(old.Address)
+		if i, ok := next[id]; !ok || !i.SameIncarnation(old) {
+			p.departures.record(incarnationOf(old), false, now)
+			p.replicas.Pool.CloseIdle(old.Address)
 			p.log.Info().Str("event", "instance_gone").Str("instance", id).Str("address", old.Address).Send()
 		}
 	}
 	p.applyInstances(next)
 }
 
-// revivalTime is how long after a failed call of the store an entry that returns counts as
+// immediateReturnTime is how long after a failed call of the store an entry that returns counts as
 // available at once.
-const revivalTime = 5 * time.Second
+const immediateReturnTime = 5 * time.Second
 
 // applyInstances makes a table of instances the one that requests are routed by. Of a VM's first
 // table it logs only the size and the draining instances: hundreds of VMs that start together
@@ -98,9 +98,9 @@
 	for id, i := range next {
 		old := previous[id]
 		first := len(previous) == 0 && !i.Draining
-		if !first && (old == nil || !old.Same(i) || old.Draining != i.Draining) {
+		if !first && (old == nil || !old.SameIncarnation(i) || old.Draining != i.Draining) {
 			p.log.Info().Str("event", "instance").Str("instance", id).Str("service", i.Service).
-				Str("address", i.Address).Bool("draining", i.Draining).Int64("born", i.Born).Send()
+				Str("address", i.Address).Bool("draining", i.Draining).Int64("born", i.Incarnation).Send()
 		}
 		list = append(list, *i)
 	}
@@ -115,9 +115,9 @@
 	return &copied
 }
 
-// peerDepartures marks the instances as draining whose incarnations a VM with a newer view of the
+// applyPeerDepartures marks the instances as draining whose incarnations a VM with a newer view of the
 // store has seen draining or gone.
-func (p *Process) peerDepartures(names []string) {
+func (p *Process) applyPeerDepartures(names []string) {
 	if len(names) == 0 {
 		return
 	}
@@ -129,7 +129,7 @@
 	changed := false
 	for id, i := range *p.instances.Load() {
 		if !i.Draining && left[incarnationOf(i)] {
-			p.gone.left(incarnationOf(i), false, time.Now())
+			p.departures.record(incarnationOf(i), false, time.Now())
 			i, changed = asDraining(i), true
 		}
 		next[id] = i
--- a/internal/vm/large_configuration_test.go
+++ b/internal/vm/large_configuration_test.go
@@ -137,7 +137,7 @@
 func (c *cluster) startWithNarrowLinks() (toVMs *link, toStore []*link) {
 	toVMs = newLinks(c.t, narrowLink/scaleDown)
 	c.registerPeersBehind(toVMs)
-	for i := range pauseFleet + 2 {
+	for i := range minPauseMaxVMs + 2 {
 		spec := vmSpec{name: fmt.Sprintf("vm-%02d", i), domain: fmt.Sprint(i % 2), linkMbps: 200, configurationDeadline: largeFleetConfigurationDeadline}
 		if i >= 2 {
 			spec.linkMbps, spec.link = 10, newLink(c.t, narrowLink/scaleDown)
@@ -145,7 +145,7 @@
 		}
 		c.startAs(spec)
 	}
-	c.eventually(func() bool { return c.nonWatchingVMs() == pauseFleet })
+	c.eventually(func() bool { return c.nonWatchingVMs() == minPauseMaxVMs })
 	return toVMs, toStore
 }
 
@@ -164,7 +164,7 @@
 		for _, v := range c.vms {
 			if has := v.core.Catalog().Version; has != int64(c.version) {
 				out = append(out, fmt.Sprintf("%s has version %d, its view is %v old, all hubs failed: %v, follows a hub: %v", v.settings.VM, has,
-					v.tracker.age(), v.tracker.allHubsFailed(), v.tracker.followsHub()))
+					v.tracker.viewAge(), v.tracker.allHubsFailed(), v.tracker.followsHub()))
 			}
 		}
 		return out
--- a/internal/vm/move.go
+++ b/internal/vm/move.go
@@ -206,7 +206,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if state.inMemory[move.Load] {
-		return m.WarmTime
+		return m.MemoryLoadTime
 	}
-	return m.DiskTime
+	return m.DiskLoadTime
 }
--- a/internal/vm/orders.go
+++ b/internal/vm/orders.go
@@ -21,7 +21,7 @@
 		if errors.Is(err, ErrNotLeader) {
 			return err
 		}
-		l.p.counter("orders." + string(op) + "." + result.String())
+		l.p.incrementCounter("orders." + string(op) + "." + result.String())
 		l.p.log.Info().Str("event", "order").Str("instance", state.instance.ID).Str("operation", string(op)).Str("model", model).
 			Str("adapter", adapter).Int64("token", token).Int64("accepted", accepted).Stringer("result", result).AnErr("cause", err).Send()
 		switch result {
--- a/internal/vm/path_test.go
+++ b/internal/vm/path_test.go
@@ -17,7 +17,7 @@
 		got := c.ask(v, call{method: "POST", path: "/chat/x%2Fy?z=1", model: "m0", body: "hello"})
 		require.NoError(t, got.err)
 		require.Equal(t, http.StatusOK, got.status)
-		require.Equal(t, words(1, 2, 3), got.body)
+		require.Equal(t, sseBody(1, 2, 3), got.body)
 		require.Equal(t, "sig-engine-1", got.header.Get("X-Chestnutarch-Response-Signature"))
 		got = c.ask(v, call{method: "POST", path: "/file/1", body: "deed"})
 		require.Equal(t, "done by clerk-1", got.body)
@@ -127,14 +127,14 @@
 	c := newCluster(t, one, two)
 	v := c.start("a")
 	q := call{method: "POST", path: "/draft/", model: "m0"}
-	require.Equal(t, words(1, 2, 3), c.ask(v, q).body)
+	require.Equal(t, sseBody(1, 2, 3), c.ask(v, q).body)
 	if len(one.Runs()) == 0 {
 		one, two = two, one
 	}
-	one.CutNext(1)
+	one.CutNextStream(1)
 	got := c.ask(v, q)
 	require.NoError(t, got.err)
-	require.Equal(t, words(1, 2, 3), got.body)
+	require.Equal(t, sseBody(1, 2, 3), got.body)
 	runs := two.Runs()
 	require.Len(t, runs, 1)
 	require.Equal(t, "1", runs[0].LastEvent)
@@ -144,11 +144,11 @@
 // off, since an answer that ends early could be taken for the whole one.
 func TestCutStreamDoesNotLookComplete(t *testing.T) {
 	one := standin.NewReplica("engine-1", 2, "m0")
-	one.CutNext(2)
+	one.CutNextStream(2)
 	c := newCluster(t, one, standin.NewReplica("engine-2", 2))
 	got := c.ask(c.start("a"), call{method: "POST", path: "/chat/", model: "m0"})
 	require.Error(t, got.err)
-	require.Equal(t, words(1, 2), got.body)
+	require.Equal(t, sseBody(1, 2), got.body)
 	require.Len(t, one.Runs(), 1)
 }
 
@@ -193,7 +193,7 @@
 	c.eventually(func() bool { return v.core.Catalog().Version == int64(c.version) })
 	require.Equal(t, http.StatusOK, c.ask(v, call{method: "GET", path: "/look/"}).status)
 	c.store.PutBytes("op/config", []byte("not json"))
-	time.Sleep(2 * (watchPause + watchWait))
+	time.Sleep(2 * (minWatchPause + watchTimeout))
 	require.Equal(t, http.StatusOK, c.ask(v, call{method: "GET", path: "/look/"}).status)
 }
 
--- a/internal/vm/plan.go
+++ b/internal/vm/plan.go
@@ -62,8 +62,8 @@
 	b.refilledAt = now
 }
 
-// heardDemand records the demand that a VM has had since its start, by item.
-func (l *planner) heardDemand(vm string, incarnation int64, demand map[string]assign.Demand, now time.Time) {
+// recordDemand records the demand that a VM has had since its start, by item.
+func (l *planner) recordDemand(vm string, incarnation int64, demand map[string]assign.Demand, now time.Time) {
 	if len(demand) == 0 {
 		return
 	}
@@ -86,9 +86,9 @@
 	}
 }
 
-// heardUse records that adapters are in use. An adapter with requests in flight must not be
+// recordAdapterUse records that adapters are in use. An adapter with requests in flight must not be
 // evicted: its unload would wait for them, and the slot would stay occupied meanwhile.
-func (l *planner) heardUse(items []string, now time.Time) {
+func (l *planner) recordAdapterUse(items []string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, item := range items {
@@ -215,6 +215,6 @@
 		}
 		l.publishContents()
 		// Callers wait for the model, and the next report may be a quarter of a second away.
-		l.p.fleet.announce()
+		l.p.fleet.exchangeNow()
 	}()
 }
--- a/internal/vm/planner.go
+++ b/internal/vm/planner.go
@@ -129,8 +129,8 @@
 			l.endTerm()
 			continue
 		}
-		l.heardUse(l.p.assigner.InUse(), time.Now())
-		l.heardDemand(l.p.settings.VM, l.p.fleet.incarnation, l.p.assigner.Demand(), time.Now())
+		l.recordAdapterUse(l.p.assigner.InUse(), time.Now())
+		l.recordDemand(l.p.settings.VM, l.p.fleet.incarnation, l.p.assigner.Demand(), time.Now())
 		l.readNewEngines(ctx, token)
 		began := time.Now()
 		l.planMoves(ctx)
@@ -181,7 +181,7 @@
 	now := time.Now()
 	var unread []*upstream.Instance
 	for id, state := range l.states {
-		if i := instances[id]; i == nil || !i.Same(state.instance) {
+		if i := instances[id]; i == nil || !i.SameIncarnation(state.instance) {
 			delete(l.states, id)
 			delete(l.readNotBefore, id)
 		}
--- a/internal/vm/planner_test.go
+++ b/internal/vm/planner_test.go
@@ -25,7 +25,7 @@
 	}
 	got := c.askAgain(other, call{method: "POST", path: "/chat/", model: "m0/a1"})
 	require.Equal(t, http.StatusOK, got.status, got.body)
-	require.Equal(t, words(1, 2, 3), got.body)
+	require.Equal(t, sseBody(1, 2, 3), got.body)
 }
 
 // The reply to an order is lost although the engine carried it out. Sent again with the same
@@ -33,7 +33,7 @@
 // must be neither loaded twice nor given up.
 func TestOrderWhoseAnswerIsLostIsSettled(t *testing.T) {
 	engine := standin.NewReplica("engine-1", 2, "m0")
-	engine.LoseOrders(1)
+	engine.DropOrderAnswers(1)
 	c := newCluster(t, engine)
 	v := c.start("a")
 	c.waitLeader()
@@ -150,7 +150,7 @@
 // reaches it, on top of whatever the engine holds by then.
 func TestDelayedAdapterUnloadInvalidatesState(t *testing.T) {
 	engine := standin.NewReplica("engine-1", 2, "m0", "m1")
-	engine.UseAdapters()
+	engine.BlockAdapterUnloads()
 	c := newCluster(t, engine)
 	v := c.start("a")
 	c.waitLeader()
@@ -182,7 +182,7 @@
 		_, err := v.planner.placeAdapter(t.Context(), "engine", "m0", "a2")
 		require.ErrorIs(t, err, ErrNoPlace)
 	}
-	refused, _ := engine.Refused()
+	refused, _ := engine.Rejections()
 	require.Equal(t, 1, refused)
 }
 
@@ -201,7 +201,7 @@
 	c.eventually(func() bool { _, known := other.candidate.Leader(); return known })
 	c.eventually(func() bool { e := leader.planner.engines("engine")[0]; return !e.Busy && len(e.Models) == 2 })
 	go leader.stop()
-	c.eventually(func() bool { return leader.leaving.Load() })
+	c.eventually(func() bool { return leader.draining.Load() })
 	instance, err := other.ensureAdapter(t.Context(), "engine", "m0", "a1")
 	require.NoError(t, err)
 	require.Equal(t, "engine-1", instance)
@@ -214,11 +214,11 @@
 // the model that it is unloading.
 func TestMissingModelIsLoadedElsewhereWhenUnloadWaits(t *testing.T) {
 	one, two := standin.NewReplica("engine-1", 2, "m0", "m1"), standin.NewReplica("engine-2", 2, "m0", "m1")
-	one.HoldUnloads(true)
-	two.HoldUnloads(true)
+	one.HoldModelUnloads(true)
+	two.HoldModelUnloads(true)
 	c := newCluster(t, one, two)
-	c.describeModels("engine-1", "m0", "m1")
-	c.describeModels("engine-2", "m0", "m1")
+	c.setReplicaModels("engine-1", "m0", "m1")
+	c.setReplicaModels("engine-2", "m0", "m1")
 	v := c.start("a")
 	c.waitLeader()
 	c.eventually(func() bool { return unloadCount(one)+unloadCount(two) > 0 })
@@ -226,22 +226,22 @@
 	if unloadCount(two) > 0 {
 		waiting, other = two, one
 	}
-	other.HoldUnloads(false)
+	other.HoldModelUnloads(false)
 	c.eventually(func() bool {
 		return c.ask(v, call{method: "POST", path: "/draft/", model: "m2"}).status == http.StatusOK
 	})
 	require.NotNil(t, v.planner.state(waiting.ID), "the state of the engine must stay valid while its unload waits")
 	orders, _ := waiting.Orders()
 	require.Len(t, orders, 1)
-	refusedOrders, _ := waiting.Refused()
+	refusedOrders, _ := waiting.Rejections()
 	require.Equal(t, 1, refusedOrders, "the waiting engine must be read, not sent the load repeatedly")
 	for range 6 {
 		require.Equal(t, http.StatusOK, c.ask(v, call{method: "POST", path: "/draft/", model: remainingModel(waiting)}).status)
 		c.ask(v, call{method: "POST", path: "/draft/", model: unloadedModel(waiting)})
 	}
-	_, requests := waiting.Refused()
+	_, requests := waiting.Rejections()
 	require.Zero(t, requests)
-	waiting.HoldUnloads(false)
+	waiting.HoldModelUnloads(false)
 	c.eventually(func() bool {
 		state := v.planner.state(waiting.ID)
 		return state != nil && !v.planner.engines("engine")[0].Busy
--- a/internal/vm/process.go
+++ b/internal/vm/process.go
@@ -31,7 +31,7 @@
 )
 
 // projectPrefix is the prefix of this project's keys in the store.
-const ownPrefix = "chestnutarch/"
+const projectPrefix = "chestnutarch/"
 
 // Process is the process of one VM.
 type Process struct {
@@ -59,12 +59,12 @@
 	// their newest revision.
 	projectKeys     int
 	projectRevision int64
-	leaving         atomic.Bool
+	draining        atomic.Bool
 	// viewReceived is set once a view of the store has been applied, so that upstreams are
 	// known.
 	viewReceived atomic.Bool
 	// departures holds the incarnations of instances that were seen draining or gone.
-	gone *departures
+	departures *departures
 
 	mu sync.Mutex
 	// config is the configuration in force as stored, kept so that it can be served to VMs
@@ -75,7 +75,7 @@
 
 // New returns a process built from its settings.
 func New(s *platform.Settings, log zerolog.Logger) (*Process, error) {
-	p := &Process{settings: s, log: log, metrics: metrics.NewRegistry(), gone: newDepartures(), entries: newInstanceEntries(platform.Instance)}
+	p := &Process{settings: s, log: log, metrics: metrics.NewRegistry(), departures: newDepartures(), entries: newInstanceEntries(platform.Instance)}
 	p.store = platform.NewStore(s.Store.Address, p.countStoreCall)
 	p.replicas = platform.NewReplicas()
 	p.assigner = assign.New()
@@ -85,13 +85,13 @@
 			Dur("for_ms", time.Until(until)).Send()
 	})
 	p.budget = retrybudget.New(retryLimitsOf(s), time.Now())
-	p.tracker = newTracker(p.store, log, p.applyView, func() int { return p.fleet.size() }, s.Bounds.Configuration, relay{
+	p.tracker = newTracker(p.store, log, p.applyView, func() int { return p.fleet.size() }, s.Bounds.Configuration, hubClient{
 		hubs: func() []string { return p.fleet.hubs() }, follow: p.callHub,
 	})
 	p.candidate = leadership.New(leadership.Options{
-		Store: p.store, VM: s.VM, Prefix: ownPrefix, LeaseMin: s.Store.LeaseMin,
-		Settle: s.Bounds.OrderLease, Clock: clock.Boot(), Log: log,
-		Stands: func() bool { return p.fleet.eligibleToLead() || p.tracker.allHubsFailed() },
+		Store: p.store, VM: s.VM, Prefix: projectPrefix, LeaseMin: s.Store.LeaseMin,
+		TakeoverDelay: s.Bounds.OrderLease, Clock: clock.Boot(), Log: log,
+		Eligible: func() bool { return p.fleet.eligibleToLead() || p.tracker.allHubsFailed() },
 	})
 	empty := make(map[string]*upstream.Instance)
 	p.instances.Store(&empty)
@@ -102,7 +102,7 @@
 	p.core = traffic.New(traffic.Options{
 		Upstreams: p.replicas, Assigner: p.assigner, Limiter: p.limiter,
 		Budget:   p.budget,
-		Instance: p.instance, VMs: p.fleet.size, EnsureAdapter: p.ensureAdapter, UpstreamsAge: p.tracker.age,
+		Instance: p.instance, VMs: p.fleet.size, EnsureAdapter: p.ensureAdapter, UpstreamsAge: p.tracker.viewAge,
 		Outdated: func() bool { return p.configurationLag.behind(time.Now()) > 0 },
 		Log:      log, Metrics: p.metrics,
 	})
@@ -194,12 +194,12 @@
 func (p *Process) drain(background context.Context, servers []*server, resign func()) {
 	p.log.Info().Str("event", "draining").Int64("pending", p.ingress.Pending()).Send()
 	deadline := time.Now().Add(p.settings.Bounds.Grace - shutdownMargin)
-	p.leaving.Store(true)
+	p.draining.Store(true)
 	p.core.Close()
-	p.fleet.announce()
+	p.fleet.exchangeNow()
 	sleep(background, min(lameDuckPeriod, p.settings.Bounds.Grace/2))
 	p.core.RefuseNew()
-	for time.Now().Before(deadline) && (p.ingress.Pending() > 0 || p.candidate.Leads()) && background.Err() == nil {
+	for time.Now().Before(deadline) && (p.ingress.Pending() > 0 || p.candidate.HoldsLease()) && background.Err() == nil {
 		sleep(background, 20*time.Millisecond)
 	}
 	resign()
@@ -213,7 +213,7 @@
 
 // ready reports whether callers may be sent to this VM.
 func (p *Process) ready() bool {
-	return !p.leaving.Load() && p.viewReceived.Load() && p.core.Catalog() != nil && p.configurationLag.behind(time.Now()) <= p.settings.Bounds.Configuration
+	return !p.draining.Load() && p.viewReceived.Load() && p.core.Catalog() != nil && p.configurationLag.behind(time.Now()) <= p.settings.Bounds.Configuration
 }
 
 type server struct {
@@ -286,7 +286,7 @@
 	p.candidate.Observe(v.items)
 	keys, newest := 0, int64(0)
 	for key, item := range v.items {
-		if strings.HasPrefix(key, ownPrefix) {
+		if strings.HasPrefix(key, projectPrefix) {
 			keys++
 			newest = max(newest, item.Revision)
 		}
@@ -297,7 +297,7 @@
 	p.projectKeys, p.projectRevision = keys, newest
 	own := make(map[string]store.Item, keys)
 	for key, item := range v.items {
-		if strings.HasPrefix(key, ownPrefix) {
+		if strings.HasPrefix(key, projectPrefix) {
 			own[key] = item
 		}
 	}
@@ -323,7 +323,7 @@
 	}
 	p.config = config
 	p.configurationLag.apply(revision, time.Now())
-	p.tracker.values.note(config)
+	p.tracker.values.record(config)
 	p.limiter.SetLimits(limitsOf(next), time.Now())
 	p.assigner.SetCatalog(next)
 	p.core.SetCatalog(next)
--- a/internal/vm/reports.go
+++ b/internal/vm/reports.go
@@ -14,8 +14,8 @@
 	out := &peerpb.VMReport{
 		Vm: f.process.settings.VM, Incarnation: f.incarnation, Sequence: f.sequence.Add(1),
 		CallerAddress: f.process.settings.Callers, PeerAddress: f.process.peerAddress(), Ready: f.process.ready(), Leads: leads,
-		ConfigurationRevision: f.process.configuration().Revision, ViewRevision: f.process.tracker.at(),
-		Leaving: f.process.gone.names(),
+		ConfigurationRevision: f.process.configuration().Revision, ViewRevision: f.process.tracker.viewRevision(),
+		Leaving: f.process.departures.names(),
 	}
 	scope, since := f.addAcknowledgement(out, receiver)
 	out.Scope = int32(scope)
@@ -25,7 +25,7 @@
 		f.aggregator.fillReport(out, scope, receiver, since, now)
 	}
 	if leads || (scope != topology.ScopeOwn && scope != topology.ScopePresence) {
-		f.process.planner.contents.describe(out, receiver)
+		f.process.planner.contents.addUnsent(out, receiver)
 	}
 	return out
 }
@@ -42,7 +42,7 @@
 	}
 	out.AcknowledgedIncarnation = m.Incarnation
 	out.Acknowledged, out.AcknowledgedScope = m.applied.version, int32(m.applied.scope)
-	scope = f.plan.ScopeFor(topology.VM{Name: receiver, Domain: m.Domain, Leads: m.leads})
+	scope = f.plan.ScopeFor(topology.VM{Name: receiver, Domain: m.Domain, Leader: m.leads})
 	if m.acknowledged.scope == scope {
 		since = m.acknowledged.version
 	}
@@ -52,7 +52,7 @@
 // ownWork returns the work of this VM itself.
 func (f *fleet) ownWork() work {
 	return work{
-		admitted: f.process.limiter.Admitted(), asked: f.process.limiter.Asked(), demand: f.process.assigner.Demand(), loads: f.process.assigner.Loads(), inUse: f.process.assigner.InUse(),
+		admitted: f.process.limiter.Admitted(), asked: f.process.limiter.Demand(), demand: f.process.assigner.Demand(), loads: f.process.assigner.Loads(), inUse: f.process.assigner.InUse(),
 	}
 }
 
@@ -102,9 +102,9 @@
 	if accepted {
 		f.applyWork(r, sameDomain, now)
 	}
-	f.process.planner.hearContents(r)
-	if r.ViewRevision > f.process.tracker.at() {
-		f.process.peerDepartures(r.Leaving)
+	f.process.planner.applyContents(r)
+	if r.ViewRevision > f.process.tracker.viewRevision() {
+		f.process.applyPeerDepartures(r.Leaving)
 	}
 	f.process.configurationLag.peerHas(r.ConfigurationRevision, now)
 	// A VM that follows a hub gets the same configuration in the hub's next answer.
@@ -154,7 +154,7 @@
 	next.Incarnation, next.Callers, next.Peers = r.Incarnation, r.CallerAddress, r.PeerAddress
 	f.members[r.Vm] = next
 	f.planOutdated = true
-	f.process.planner.contents.forget(r.Vm)
+	f.process.planner.contents.forgetSent(r.Vm)
 	return next
 }
 
@@ -164,10 +164,10 @@
 		f.requestFullReport(r.Vm)
 		return
 	}
-	f.process.assigner.SetOthers(r.Vm, f.aggregator.loadsFrom(r.Vm), now)
-	f.process.limiter.Report(r.Vm, r.Incarnation, r.Admitted, r.Asked, now)
-	f.process.planner.heardDemand(r.Vm, r.Incarnation, demandFromProto(r.Demand), now)
-	f.process.planner.heardUse(r.InUse, now)
+	f.process.assigner.SetPeerLoads(r.Vm, f.aggregator.loadsFrom(r.Vm), now)
+	f.process.limiter.ApplyReport(r.Vm, r.Incarnation, r.Admitted, r.Asked, now)
+	f.process.planner.recordDemand(r.Vm, r.Incarnation, demandFromProto(r.Demand), now)
+	f.process.planner.recordAdapterUse(r.InUse, now)
 }
 
 // requestFullReport makes a VM's next report complete instead of incremental.
--- a/internal/vm/tracker.go
+++ b/internal/vm/tracker.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// watchWait is how long one watch call waits for a change. Together with the store's
+	// watchTimeout is how long one watch call waits for a change. Together with the store's
 	// timeout it bounds how long a silent watch goes unnoticed.
-	watchWait = 500 * time.Millisecond
-	// watchPause is the shortest time between two watch calls. Instances write constantly, so
+	watchTimeout = 500 * time.Millisecond
+	// minWatchPause is the shortest time between two watch calls. Instances write constantly, so
 	// a watch returns at once, and without a pause every heartbeat would cost a call of every
 	// VM. A configuration has to be in force within two seconds.
-	watchPause = 600 * time.Millisecond
-	// pauseFleet is the number of VMs up to which the pause is watchPause: a dozen VMs make
+	minWatchPause = 600 * time.Millisecond
+	// minPauseMaxVMs is the number of VMs up to which the pause is minWatchPause: a dozen VMs make
 	// about 20 calls a second.
-	pauseFleet = 12
-	// retryPause is the shortest time between attempts while the store does not answer.
-	retryPause = 150 * time.Millisecond
+	minPauseMaxVMs = 12
+	// minRetryPause is the shortest time between attempts while the store does not answer.
+	minRetryPause = 150 * time.Millisecond
 	// lapsedGrace is how long after the last failed call of the store an entry that has
 	// disappeared is kept. Leases may expire while the store is unavailable, and a living
 	// instance writes its entry again within about two seconds of the store's return.
@@ -47,24 +47,24 @@
 	store   store.Store
 	log     zerolog.Logger
 	changed func(view)
-	relay   relay
-	values  values
+	relay   hubClient
+	values  valueHistory
 	// following reports that this VM follows the store through a hub.
 	following atomic.Bool
-	// vms returns the number of VMs. maxPause is the longest pause between two watch calls.
-	vms      func() int
+	// vmCount returns the number of VMs. maxPause is the longest pause between two watch calls.
+	vmCount  func() int
 	maxPause time.Duration
-	// stale is the largest acceptable age of a hub's view, hubPause the time between two
+	// maxHubViewAge is the largest acceptable age of a hub's view, hubWatchPause the time between two
 	// watch calls of a hub.
-	stale, hubPause time.Duration
+	maxHubViewAge, hubWatchPause time.Duration
 
 	mu      sync.Mutex
 	view    view
-	changes *changes
+	changes *changeLog
 	// watching reports that this VM watches the store itself.
 	watching bool
 	// avoided holds the hubs that have recently failed for this VM, by address.
-	avoided map[string]avoidance
+	avoided map[string]hubBackoff
 	// lapsed holds the keys of entries that disappeared while the store was unavailable or
 	// had just returned, with the time until which the entries are kept.
 	lapsed map[string]time.Time
@@ -72,17 +72,17 @@
 	failedAt time.Time
 	// storeLost reports that the loss of the store was logged and no view was published since.
 	storeLost bool
-	// fresh is when the view was last known to be complete.
-	fresh time.Time
+	// completeAt is when the view was last known to be complete.
+	completeAt time.Time
 }
 
 // newTracker returns a tracker of a store whose configurations have to be in force within the
 // time inForce.
-func newTracker(s store.Store, log zerolog.Logger, changed func(view), vms func() int, inForce time.Duration, r relay) *tracker {
+func newTracker(s store.Store, log zerolog.Logger, changed func(view), vms func() int, inForce time.Duration, r hubClient) *tracker {
 	return &tracker{
-		store: s, log: log, changed: changed, vms: vms, relay: r, values: newValues(),
-		maxPause: inForce * 2 / 3, stale: inForce / staleShare, hubPause: inForce / hubPauseShare,
-		changes: newChanges(), avoided: make(map[string]avoidance), lapsed: make(map[string]time.Time),
+		store: s, log: log, changed: changed, vmCount: vms, relay: r, values: newValueHistory(),
+		maxPause: inForce * 2 / 3, maxHubViewAge: inForce / staleDivisor, hubWatchPause: inForce / hubPauseDivisor,
+		changes: newChangeLog(), avoided: make(map[string]hubBackoff), lapsed: make(map[string]time.Time),
 	}
 }
 
@@ -94,13 +94,13 @@
 			t.recordFailure(err)
 			sleep(ctx, t.retryAfter(failures))
 			failures++
-			if _, ok := t.mayFollow(time.Now()); !ok {
+			if _, ok := t.usableHub(time.Now()); !ok {
 				continue
 			}
 			// The store keeps rejecting this VM, and a hub may have a newer view by now.
 		}
 		read, failures = t.listAll, 0
-		if t.watchOrFollow(ctx) == nil && t.at() > 0 {
+		if t.watchOrFollow(ctx) == nil && t.viewRevision() > 0 {
 			read = t.listLeased
 		}
 	}
@@ -113,14 +113,14 @@
 func (t *tracker) watchOrFollow(ctx context.Context) error {
 	failures := 0
 	for ctx.Err() == nil {
-		if hub, ok := t.mayFollow(time.Now()); ok {
+		if hub, ok := t.usableHub(time.Now()); ok {
 			t.followHub(ctx, hub)
-			if _, another := t.mayFollow(time.Now()); another {
+			if _, another := t.usableHub(time.Now()); another {
 				continue
 			}
 			return nil
 		}
-		events, err := t.store.Watch(ctx, "", t.at(), watchWait)
+		events, err := t.store.Watch(ctx, "", t.viewRevision(), watchTimeout)
 		switch {
 		case errors.Is(err, store.ErrCompacted):
 			return err
@@ -140,24 +140,24 @@
 // watchInterval is the pause between two watch calls. It grows with the fleet, so that the total
 // number of calls grows more slowly: VMs share what the one that watched last has seen.
 func (t *tracker) watchInterval() time.Duration {
-	if len(t.relay.hubs()) == 0 && t.vms() > pauseFleet {
+	if len(t.relay.hubs()) == 0 && t.vmCount() > minPauseMaxVMs {
 		// This VM is a hub: others follow it.
-		return t.hubPause
+		return t.hubWatchPause
 	}
-	scaled := watchPause * time.Duration(t.vms()) / pauseFleet
-	return min(max(watchPause, scaled), max(watchPause, t.maxPause))
+	scaled := minWatchPause * time.Duration(t.vmCount()) / minPauseMaxVMs
+	return min(max(minWatchPause, scaled), max(minWatchPause, t.maxPause))
 }
 
 // retryAfter is the time until the next attempt after a number of consecutive failures. In a
 // large fleet it grows with that number: a store that rejects VMs still answers every attempt.
 func (t *tracker) retryAfter(failures int) time.Duration {
-	if t.vms() <= pauseFleet {
-		return retryPause
+	if t.vmCount() <= minPauseMaxVMs {
+		return minRetryPause
 	}
-	return min(retryPause<<min(failures, 4), max(retryPause, 2*t.hubPause))
+	return min(minRetryPause<<min(failures, 4), max(minRetryPause, 2*t.hubWatchPause))
 }
 
-func (t *tracker) at() int64 {
+func (t *tracker) viewRevision() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.view.revision
@@ -196,14 +196,14 @@
 			items = append(items, item)
 		}
 	}
-	complete := t.fresh
+	complete := t.completeAt
 	t.replaceView(items, t.view.revision)
-	t.fresh = complete
+	t.completeAt = complete
 	return nil
 }
 
 // leasedPrefixes are the prefixes of keys that the store drops when their leases end.
-var leasedPrefixes = []string{platform.InstancePrefix, ownPrefix}
+var leasedPrefixes = []string{platform.InstancePrefix, projectPrefix}
 
 func isLeased(key string) bool {
 	return slices.ContainsFunc(leasedPrefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
@@ -256,7 +256,7 @@
 // keepLapsed reports whether an entry that has disappeared is to be kept for now: if a call of
 // the store failed recently, the entry's lease may have expired although the instance lives.
 func (t *tracker) keepLapsed(key string, now time.Time) bool {
-	if strings.HasPrefix(key, ownPrefix) || t.failedAt.IsZero() {
+	if strings.HasPrefix(key, projectPrefix) || t.failedAt.IsZero() {
 		return false
 	}
 	until, ok := t.lapsed[key]
@@ -280,11 +280,11 @@
 		t.storeLost = false
 		t.log.Info().Str("event", "store_regained").Int64("revision", next.revision).Send()
 	}
-	t.changes.note(t.view.items, next.items)
+	t.changes.record(t.view.items, next.items)
 	for _, item := range next.items {
-		t.values.note(item)
+		t.values.record(item)
 	}
-	t.view, t.fresh = next, now
+	t.view, t.completeAt = next, now
 	t.changed(next)
 }
 
@@ -295,7 +295,7 @@
 	if !t.storeLost {
 		t.storeLost = true
 		t.log.Warn().Str("event", "store_lost").AnErr("cause", err).Int64("revision", t.view.revision).
-			Dur("age_ms", time.Since(t.fresh)).Send()
+			Dur("age_ms", time.Since(t.completeAt)).Send()
 	}
 }
 
@@ -308,15 +308,15 @@
 	}
 }
 
-// age returns the time since the view was last known to be complete.
-func (t *tracker) age() time.Duration {
+// viewAge returns the time since the view was last known to be complete.
+func (t *tracker) viewAge() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return time.Since(t.fresh)
+	return time.Since(t.completeAt)
 }
 
-// awayWithin reports whether a call of the store failed within some time. It is
+// failedWithin reports whether a call of the store failed within some time. It is
 // called while a view is published.
-func (t *tracker) awayWithin(now time.Time, within time.Duration) bool {
+func (t *tracker) failedWithin(now time.Time, within time.Duration) bool {
 	return !t.failedAt.IsZero() && now.Sub(t.failedAt) < within
 }
--- a/internal/vm/value_history.go
+++ b/internal/vm/value_history.go
@@ -14,16 +14,16 @@
 
 // valueHistory keeps earlier revisions of large values, to make patches for VMs that hold
 // them.
-type values struct{ history *patch.History }
+type valueHistory struct{ history *patch.History }
 
-func newValues() values { return values{patch.NewHistory()} }
+func newValueHistory() valueHistory { return valueHistory{patch.NewHistory()} }
 
 // record adds an item's newest value.
-func (v values) note(i store.Item) { v.history.Note(i.Key, i.Revision, i.Value) }
+func (v valueHistory) record(i store.Item) { v.history.Record(i.Key, i.Revision, i.Value) }
 
 // itemFor returns an item for a VM that holds another revision of it, zero for none: as a
 // patch if possible, else with its whole value.
-func (v values) itemFor(i store.Item, held int64) *peerpb.StoreItem {
+func (v valueHistory) itemFor(i store.Item, held int64) *peerpb.StoreItem {
 	out := &peerpb.StoreItem{Key: i.Key, Revision: i.Revision}
 	if p, base, ok := v.history.Patch(i.Key, i.Revision, held); ok {
 		out.Patch, out.BaseRevision = p, base
--- a/test/soak/callers_test.go
+++ b/test/soak/callers_test.go
@@ -83,7 +83,7 @@
 			continue
 		}
 		a := l.attempt(r, pick(r, known))
-		a.answer = standin.Ask(ctx, client, a.vm.callers.address(), a.Call)
+		a.answer = standin.Send(ctx, client, a.vm.callers.address(), a.Call)
 		a.ended = time.Now()
 		if ctx.Err() != nil {
 			// The caller left at the end of the run; it saw nothing.
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -142,7 +142,7 @@
 func (w *world) storeAway(r *rand.Rand) fault {
 	status := pick(r, []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, 0, -1})
 	return fault{name: fmt.Sprintf("the store is away (%d)", status), begin: func() {
-		w.store.Away(func(out http.ResponseWriter, in *http.Request) {
+		w.store.Override(func(out http.ResponseWriter, in *http.Request) {
 			switch status {
 			case 0:
 				hang(in)
@@ -152,12 +152,12 @@
 				out.WriteHeader(status)
 			}
 		})
-	}, end: func() { w.store.Away(nil) }}
+	}, end: func() { w.store.Override(nil) }}
 }
 
 func (w *world) storeLosesAnswers(*rand.Rand) fault {
 	return fault{
-		name: "the store loses answers", begin: func() { w.store.LoseAnswers(true) }, end: func() { w.store.LoseAnswers(false) },
+		name: "the store loses answers", begin: func() { w.store.DropCommitAnswers(true) }, end: func() { w.store.DropCommitAnswers(false) },
 	}
 }
 
@@ -169,8 +169,8 @@
 // meanwhile end.
 func (w *world) storeLapses(*rand.Rand) fault {
 	return fault{name: "the store is away and leases lapse", begin: func() {
-		w.store.Away(func(out http.ResponseWriter, _ *http.Request) { out.WriteHeader(http.StatusServiceUnavailable) })
-	}, end: func() { w.store.Away(nil) }}
+		w.store.Override(func(out http.ResponseWriter, _ *http.Request) { out.WriteHeader(http.StatusServiceUnavailable) })
+	}, end: func() { w.store.Override(nil) }}
 }
 
 // storeTurnsAway resets every connection of one VM to the store.
@@ -226,12 +226,12 @@
 func failRequest(out http.ResponseWriter, in *http.Request, how int) {
 	switch how {
 	case 0:
-		standin.Refuse(out, in, http.StatusInternalServerError)
+		standin.ReplyWithStatus(out, in, http.StatusInternalServerError)
 	case 1:
 		_, _ = out.Write([]byte("not an answer of ours"))
 	case 2:
 		out.Header().Set("Content-Length", "1000")
-		standin.Refuse(out, in, http.StatusOK)
+		standin.ReplyWithStatus(out, in, http.StatusOK)
 		panic(http.ErrAbortHandler)
 	default:
 		hang(in)
--- a/test/soak/process_test.go
+++ b/test/soak/process_test.go
@@ -13,7 +13,7 @@
 
 // vm is one process of the program under test.
 type vm struct {
-	standin.Machine
+	standin.VM
 	dir string
 	// builds are the programs that the process runs in turn, another one at each start;
 	// starts counts these.
--- a/test/soak/world_test.go
+++ b/test/soak/world_test.go
@@ -84,7 +84,7 @@
 	w.store.Put("op/config", w.manifest.Value())
 	server := httptest.NewServer(w.store)
 	t.Cleanup(func() {
-		w.store.Away(nil)
+		w.store.Override(nil)
 		server.CloseClientConnections()
 		server.Close()
 	})
@@ -107,7 +107,7 @@
 
 func (w *world) addUpstream(service, id string, models ...string) {
 	r := standin.NewReplica(id, 2, models...)
-	r.Mark, r.Work, r.Born = true, 5*time.Millisecond, time.Now().UnixMilli()
+	r.NameAttempt, r.ServiceTime, r.Born = true, 5*time.Millisecond, time.Now().UnixMilli()
 	r.SetLoadTime(200 * time.Millisecond)
 	u := &upstream{Replica: r, service: service, zone: "a", server: httptest.NewServer(r), state: "ready"}
 	way, err := newProxy(u.server.Listener.Addr().String())
@@ -143,7 +143,7 @@
 func (w *world) addVM(firstBuild int, name, zone string) {
 	given := freePorts(w.t, 5)
 	at := func(i int) string { return fmt.Sprintf("127.0.0.1:%d", given[i]) }
-	v := &vm{builds: builds, starts: firstBuild, dir: w.dir, Machine: standin.Machine{
+	v := &vm{builds: builds, starts: firstBuild, dir: w.dir, VM: standin.VM{
 		Name: name, Zone: zone, IP: "127.0.0.1", FirstPort: min(given[0], given[1]), LastPort: max(given[0], given[1]),
 		Callers: at(2), Readiness: at(3), Directory: at(4),
 		ConfigMs: configMs, LeaseMs: leaseMs, GraceS: int(graceTime.Seconds()), QuotaSlack: quotaSlack,
@@ -230,8 +230,8 @@
 
 // heal ends every fault that lasts.
 func (w *world) heal() {
-	w.store.Away(nil)
-	w.store.LoseAnswers(false)
+	w.store.Override(nil)
+	w.store.DropCommitAnswers(false)
 	for _, v := range w.vms {
 		for _, p := range []*proxy{v.callers, v.peers, v.store} {
 			p.heal()
