--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -7,19 +7,20 @@
 )
 
 // adapterShare is the share of a model's demand that the adapters loaded with a
-// new copy should cover. A copy without the adapters that callers ask for
-// serves only the base model.
+// new copy should cover. A copy without the requested adapters serves only the
+// base model.
 const adapterShare = 0.8
 
-// followDemand uses free memory for the items with the most demand per copy,
-// then replaces copies that are worth clearly less.
-func (f *fleet) followDemand() {
-	starved := f.fill()
-	f.replace(starved)
+// addCopiesForDemand fills free memory with the items that have the most demand
+// per copy, then replaces copies that carry clearly less demand.
+func (f *fleet) addCopiesForDemand() {
+	unsatisfied := f.fillFreeMemory()
+	f.replaceCopies(unsatisfied)
 }
 
-// fill adds copies in free memory. It returns the base models that found none.
-func (f *fleet) fill() []int {
+// fillFreeMemory adds copies in free memory. It returns the base models that
+// did not fit.
+func (f *fleet) fillFreeMemory() []int {
 	queue := &demandQueue{fleet: f}
 	for i := range f.items {
 		if len(f.items[i].copies) > 0 && f.demandPerCopy(i) > f.options.CopyTarget {
@@ -27,42 +28,42 @@
 		}
 	}
 	heap.Init(queue)
-	var starved []int
-	for queue.Len() > 0 && f.demandMoves() < f.options.MaxMoves {
+	var unsatisfied []int
+	for queue.Len() > 0 && f.newCopyCount() < f.options.MaxMoves {
 		i := queue.items[0]
 		if f.demandPerCopy(i) <= f.options.CopyTarget {
 			break
 		}
-		if f.addForDemand(i) {
+		if f.addCopyForDemand(i) {
 			heap.Fix(queue, 0)
 			continue
 		}
 		heap.Pop(queue)
 		if f.items[i].base == noBase {
-			starved = append(starved, i)
+			unsatisfied = append(unsatisfied, i)
 		}
 	}
-	return starved
+	return unsatisfied
 }
 
 func (f *fleet) demandPerCopy(i int) float64 {
-	return f.items[i].total / float64(len(f.items[i].copies))
+	return f.items[i].totalDemand / float64(len(f.items[i].copies))
 }
 
-// demandMoves counts the copies that the plan has added so far.
-func (f *fleet) demandMoves() int {
-	return len(f.sequence)
+// newCopyCount returns the number of copies that the plan has added so far.
+func (f *fleet) newCopyCount() int {
+	return len(f.newCopies)
 }
 
-func (f *fleet) addForDemand(i int) bool {
+func (f *fleet) addCopyForDemand(i int) bool {
 	if f.items[i].base != noBase {
-		e, ok := f.pickAdapter(i, false)
+		e, ok := f.pickAdapterEngine(i, false)
 		if ok {
-			f.add(e, i, ReasonDemand)
+			f.addCopy(e, i, ReasonDemand)
 		}
 		return ok
 	}
-	e, ok := f.pick(i, f.items[i].memory, anywhere)
+	e, ok := f.pickEngine(i, f.items[i].memory, anyDomain)
 	if ok {
 		f.addWithAdapters(e, i)
 	}
@@ -70,34 +71,35 @@
 }
 
 // addWithAdapters adds a base model with the adapters that most of its demand
-// asks for, as far as they fit.
+// is for, as far as they fit.
 func (f *fleet) addWithAdapters(e, base int) {
-	f.add(e, base, ReasonDemand)
+	f.addCopy(e, base, ReasonDemand)
 	adapters := slices.Clone(f.items[base].adapters)
 	slices.SortStableFunc(adapters, func(a, b int) int {
 		return cmp.Compare(f.items[b].demand, f.items[a].demand)
 	})
 	covered := f.items[base].demand
 	for _, a := range adapters {
-		if covered >= adapterShare*f.items[base].total || f.items[a].demand <= 0 {
+		if covered >= adapterShare*f.items[base].totalDemand || f.items[a].demand <= 0 {
 			return
 		}
-		if f.engines[e].free >= f.items[a].memory && f.mayHold(e, a) {
-			f.add(e, a, ReasonDemand)
+		if f.engines[e].free >= f.items[a].memory && f.canPlace(e, a) {
+			f.addCopy(e, a, ReasonDemand)
 			covered += f.items[a].demand
 		}
 	}
 }
 
-// replace exchanges copies: a starved model takes the memory of a copy that is
-// spare, if that is worth the move. Worth is compared as it will be after the
-// exchange, so that the opposite exchange never pays right afterwards.
-func (f *fleet) replace(starved []int) {
-	victims := f.victims()
-	for _, i := range starved {
-		for f.demandMoves() < f.options.MaxMoves {
-			gain := f.items[i].total / float64(len(f.items[i].copies)+1)
-			ev, found := f.victimFor(i, gain, victims)
+// replaceCopies evicts copies that can be removed in favor of unsatisfied
+// models, if the gain justifies the move. Demand per copy is compared as it
+// will be after the exchange, so that the reverse exchange is never justified
+// right afterwards.
+func (f *fleet) replaceCopies(unsatisfied []int) {
+	candidates := f.evictionCandidates()
+	for _, i := range unsatisfied {
+		for f.newCopyCount() < f.options.MaxMoves {
+			gain := f.items[i].totalDemand / float64(len(f.items[i].copies)+1)
+			ev, found := f.findEviction(i, gain, candidates)
 			if !found {
 				break
 			}
@@ -107,51 +109,53 @@
 	}
 }
 
-// victims lists the base models by what their copies are worth, least first.
-func (f *fleet) victims() []int {
-	list := f.bases()
+// evictionCandidates lists the base models by the eviction cost of a copy,
+// lowest first.
+func (f *fleet) evictionCandidates() []int {
+	list := f.baseModels()
 	slices.SortStableFunc(list, func(a, b int) int {
-		return cmp.Compare(f.worth(a), f.worth(b))
+		return cmp.Compare(f.evictionCost(a), f.evictionCost(b))
 	})
 	return list
 }
 
-func (f *fleet) victimFor(i int, gain float64, victims []int) (eviction, bool) {
-	for _, v := range victims {
-		if v == i || gain <= (1+f.options.Hysteresis)*f.worth(v)+f.options.MoveCost {
+func (f *fleet) findEviction(i int, gain float64, candidates []int) (eviction, bool) {
+	for _, v := range candidates {
+		if v == i || gain <= (1+f.options.Hysteresis)*f.evictionCost(v)+f.options.MoveCost {
 			continue
 		}
-		if ev, found := f.victimOn(v, i); found {
+		if ev, found := f.findEvictionOf(v, i); found {
 			return ev, true
 		}
 	}
 	return eviction{}, false
 }
 
-// victimOn finds the copy of v whose engine has the least load without it, among
-// those that can go and leave room for item i.
-func (f *fleet) victimOn(v, i int) (eviction, bool) {
+// findEvictionOf finds the copy of base model v to evict for item i: of the
+// copies that can be removed and leave enough memory for i, the one whose
+// engine has the least load without it.
+func (f *fleet) findEvictionOf(v, i int) (eviction, bool) {
 	var best eviction
 	var bestLoad float64
 	found := false
 	for _, e := range f.items[v].copies {
-		if !f.mayHold(e, i) {
+		if !f.canPlace(e, i) {
 			continue
 		}
-		members, memory, ok := f.spareGroup(e, v, needTwoDomains)
+		members, memory, ok := f.removableGroup(e, v, keepTwoDomains)
 		if !ok || f.engines[e].free+memory < f.items[i].memory {
 			continue
 		}
-		load := f.engines[e].load - f.items[v].total/float64(len(f.items[v].copies))
+		load := f.engines[e].load - f.items[v].totalDemand/float64(len(f.items[v].copies))
 		if !found || load < bestLoad {
-			best = eviction{engine: e, items: members, worth: f.worth(v), keep: needTwoDomains}
+			best = eviction{engine: e, items: members, cost: f.evictionCost(v), keep: keepTwoDomains}
 			bestLoad, found = load, true
 		}
 	}
 	return best, found
 }
 
-// demandQueue is a heap of items, the most demand per copy first.
+// demandQueue is a heap of items, ordered by demand per copy, highest first.
 type demandQueue struct {
 	fleet *fleet
 	items []int
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,9 +1,9 @@
 // Package placement decides which engine holds which model and adapter. It is
-// pure: the fleet, the document, the demand and what is resident go in, and the
-// set of items that each engine should hold comes out, with a reason for each.
+// pure: Make computes the items that each engine should hold, with a reason for
+// each, from the engines, the document, the demand and what is resident.
 //
-// Three rules stand in this order. Every model and adapter has one copy. Every
-// model and adapter has copies in two failure domains, where memory lets it.
-// What is left follows demand. A copy that is resident stays where it is unless
-// the memory is worth clearly more to another item: see Options.Hysteresis.
+// The rules apply in this order. Every model and adapter has one copy. Every
+// model and adapter has copies in two failure domains, where memory allows it.
+// The remaining memory is assigned by demand. A resident copy stays where it is
+// unless another item needs the memory clearly more: see Options.Hysteresis.
 package placement
--- a/internal/placement/fits.go
+++ b/internal/placement/fits.go
@@ -9,36 +9,40 @@
 	"github.com/chestnutarch/chestnutarch/internal/document"
 )
 
-// ErrDoesNotFit means that not every model and adapter finds a place.
+// ErrDoesNotFit means that not every model and adapter can be placed.
 var ErrDoesNotFit = errors.New("placement: the models and adapters do not fit")
 
-// Arithmetic shows what a document needs and has, in bytes.
-type Arithmetic struct {
-	// Models and Adapters are the memory of one copy of each.
-	Models, Adapters int64
-	// Engines is the memory of all engines, Reserve what the KV caches keep.
-	Engines, Reserve int64
-	// Largest is the largest base model and Room the largest engine's memory
-	// for weights.
-	Largest, Room int64
-	// Unplaced lists the names that found no place.
+// MemoryBudget compares the memory that a document needs with the memory that
+// its engines have, in bytes.
+type MemoryBudget struct {
+	// ModelMemory and AdapterMemory are the memory of one copy of every base
+	// model and of every adapter.
+	ModelMemory, AdapterMemory int64
+	// EngineMemory is the memory of all engines, KVCacheReserve the part of it
+	// that is reserved for KV caches.
+	EngineMemory, KVCacheReserve int64
+	// LargestModel is the memory of the largest base model, LargestEngine the
+	// largest memory for weights of any engine.
+	LargestModel, LargestEngine int64
+	// Unplaced lists the names that could not be placed.
 	Unplaced []Name
-	// OneDomain lists the names that found a place in one failure domain only.
+	// OneDomain lists the names that could be placed in one failure domain
+	// only.
 	OneDomain []Name
 }
 
-// Usable is the memory for weights.
-func (a Arithmetic) Usable() int64 { return a.Engines - a.Reserve }
+// Usable returns the memory for weights.
+func (a MemoryBudget) Usable() int64 { return a.EngineMemory - a.KVCacheReserve }
 
-// Needed is the memory of one copy of everything.
-func (a Arithmetic) Needed() int64 { return a.Models + a.Adapters }
+// Needed returns the memory of one copy of every model and adapter.
+func (a MemoryBudget) Needed() int64 { return a.ModelMemory + a.AdapterMemory }
 
-// DoesNotFitError says what finds no place. It wraps ErrDoesNotFit.
+// DoesNotFitError reports which names cannot be placed. It wraps ErrDoesNotFit.
 type DoesNotFitError struct {
-	Arithmetic
+	MemoryBudget
 }
 
-// Error shows the arithmetic.
+// Error describes the memory budget and the names that cannot be placed.
 func (e *DoesNotFitError) Error() string {
 	names := make([]string, 0, len(e.Unplaced))
 	for _, n := range e.Unplaced {
@@ -46,9 +50,9 @@
 	}
 	return fmt.Sprintf("%v: models %s + adapters %s = %s; engines %s - KV-cache reserve %s = %s; "+
 		"largest model %s, largest engine %s; no place for %s",
-		ErrDoesNotFit, gib(e.Models), gib(e.Adapters), gib(e.Needed()),
-		gib(e.Engines), gib(e.Reserve), gib(e.Usable()),
-		gib(e.Largest), gib(e.Room), strings.Join(names, ", "))
+		ErrDoesNotFit, formatGiB(e.ModelMemory), formatGiB(e.AdapterMemory), formatGiB(e.Needed()),
+		formatGiB(e.EngineMemory), formatGiB(e.KVCacheReserve), formatGiB(e.Usable()),
+		formatGiB(e.LargestModel), formatGiB(e.LargestEngine), strings.Join(names, ", "))
 }
 
 // Unwrap returns ErrDoesNotFit.
@@ -62,49 +66,52 @@
 	return n.Model + "/" + n.Adapter
 }
 
-func gib(bytes int64) string {
+func formatGiB(bytes int64) string {
 	return fmt.Sprintf("%.2fGiB", float64(bytes)/float64(document.GiB))
 }
 
-// Fits packs one copy of everything on the document's engines. It returns a
-// *DoesNotFitError if that is not possible.
+// Fits checks that one copy of every model and adapter can be placed on the
+// document's engines. It returns a *DoesNotFitError if that is not possible.
 func Fits(doc *document.Document) error {
-	a := Check(doc)
+	a := MemoryBudgetOf(doc)
 	if len(a.Unplaced) > 0 {
-		return &DoesNotFitError{Arithmetic: a}
+		return &DoesNotFitError{MemoryBudget: a}
 	}
 	return nil
 }
 
-// Check returns the arithmetic of a document on empty engines.
-func Check(doc *document.Document) Arithmetic {
-	a := sums(doc)
+// MemoryBudgetOf returns the memory budget of a document, computed for empty
+// engines.
+func MemoryBudgetOf(doc *document.Document) MemoryBudget {
+	a := memoryTotals(doc)
 	p := Make(Input{Models: doc.Models, Engines: EnginesOf(doc)})
 	a.Unplaced = p.Unplaced
 	a.OneDomain = p.OneDomain
 	return a
 }
 
-// FitsChange checks that next fits, and that what next replaces can be loaded
-// beside what is in force, so that no name is without a copy meanwhile.
+// FitsChange checks that next fits, and that the new versions in next can be
+// loaded beside the copies of current, so that no name is without a copy during
+// the change. It returns a *DoesNotFitError if not.
 func FitsChange(current, next *document.Document) error {
 	if err := Fits(next); err != nil {
 		return err
 	}
 	before := Make(Input{Models: current.Models, Engines: EnginesOf(current)})
 	engines := EnginesOf(next)
-	hold(engines, before)
+	assignPlan(engines, before)
 	after := Make(Input{Models: next.Models, Engines: engines, Quiet: true})
 	if len(after.Unplaced) == 0 {
 		return nil
 	}
-	a := sums(next)
+	a := memoryTotals(next)
 	a.Unplaced = after.Unplaced
-	return &DoesNotFitError{Arithmetic: a}
+	return &DoesNotFitError{MemoryBudget: a}
 }
 
-// hold makes the engines hold what a plan assigns.
-func hold(engines []Engine, p Plan) {
+// assignPlan adds the copies that a plan assigns to the items that the engines
+// hold.
+func assignPlan(engines []Engine, p Plan) {
 	index := make(map[string]int, len(engines))
 	for i := range engines {
 		index[engines[i].Name] = i
@@ -116,19 +123,19 @@
 	}
 }
 
-func sums(doc *document.Document) Arithmetic {
-	var a Arithmetic
+func memoryTotals(doc *document.Document) MemoryBudget {
+	var a MemoryBudget
 	for _, m := range doc.Models {
-		a.Models += int64(m.Memory)
-		a.Largest = max(a.Largest, int64(m.Memory))
+		a.ModelMemory += int64(m.Memory)
+		a.LargestModel = max(a.LargestModel, int64(m.Memory))
 		for _, adapter := range m.Adapters {
-			a.Adapters += int64(adapter.Memory)
+			a.AdapterMemory += int64(adapter.Memory)
 		}
 	}
 	for _, e := range doc.Engines {
-		a.Engines += int64(e.Memory)
-		a.Reserve += int64(e.KVCacheReserve)
-		a.Room = max(a.Room, int64(e.Memory-e.KVCacheReserve))
+		a.EngineMemory += int64(e.Memory)
+		a.KVCacheReserve += int64(e.KVCacheReserve)
+		a.LargestEngine = max(a.LargestEngine, int64(e.Memory-e.KVCacheReserve))
 	}
 	return a
 }
--- a/internal/placement/fleet.go
+++ b/internal/placement/fleet.go
@@ -7,47 +7,49 @@
 	"github.com/chestnutarch/chestnutarch/internal/document"
 )
 
-// noBase is the base index of a base model.
+// noBase is the value of itemState.base for a base model.
 const noBase = -1
 
-// itemState is one wanted item while a plan is made. Items are referred to by
-// their index, so that a plan over thousands of engines hashes no strings.
+// itemState is the state of one item of the document while a plan is made.
+// Items are referred to by index, so that a plan over thousands of engines
+// hashes no strings.
 type itemState struct {
 	item     Item
 	memory   int64
 	base     int
 	adapters []int
 	replicas int
-	// demand is the item's own; total adds that of a base model's adapters,
-	// whose requests run on the same copies.
-	demand float64
-	total  float64
-	// older says that the name serves in another version, or on another version
-	// of its base model.
-	older bool
-	// copies lists the engines that should hold the item.
+	// demand is the item's own demand. totalDemand adds that of a base model's
+	// adapters, whose requests run on the same copies.
+	demand      float64
+	totalDemand float64
+	// servesOtherVersion means that the name serves in another version, or on
+	// another version of its base model.
+	servesOtherVersion bool
+	// copies lists the engines that the plan assigns the item to.
 	copies []int
-	// domains counts the copies in each failure domain.
+	// domains is the number of copies in each failure domain.
 	domains []int
 }
 
-// engineState is one engine while a plan is made.
+// engineState is the state of one engine while a plan is made.
 type engineState struct {
 	spec   *Engine
 	domain int
-	// free is the capacity less everything held and everything wanted.
+	// free is the capacity minus the memory of all held and all planned items.
 	free int64
-	// load is the demand that the wanted copies bring.
-	load  float64
-	wants []int
-	// blocked lists items that the engine holds but that are on their way out;
-	// they cannot be wanted there before they are gone.
+	// load is the demand on the planned copies.
+	load    float64
+	planned []int
+	// blocked lists items that the engine holds but that are being unloaded or
+	// are dropped by this plan. They cannot be planned there before they are
+	// gone.
 	blocked []int
-	// dormant lists adapters that the engine holds on another version of their
-	// base model. They count again once the wanted version is there.
-	dormant []int
-	// stale lists items of which the engine holds another version.
-	stale []int
+	// inactiveAdapters lists adapters that the engine holds while this version
+	// of their base model is not planned there. They count again once it is.
+	inactiveAdapters []int
+	// otherVersions lists items of which the engine holds another version.
+	otherVersions []int
 }
 
 // fleet is the working state of one plan.
@@ -55,23 +57,26 @@
 	options Options
 	items   []itemState
 	engines []engineState
-	// order visits the engines with the failure domains taking turns, so that
-	// a bounded search sees all of them.
-	order   []int
-	cursor  int
-	domains int
-	// usable is the number of failure domains with an available engine.
-	usable  int
-	tight   bool
-	held    map[assignmentKey]struct{}
-	reasons map[assignmentKey]Reason
-	// sequence lists new copies in the order in which they were decided.
-	sequence []assignmentKey
-	// quiet says that nothing has moved for long.
-	quiet bool
-	// uncertain says that some engine may be back in a moment.
+	// visitOrder lists the available engines, alternating between failure
+	// domains, so that a bounded search covers all domains.
+	visitOrder  []int
+	cursor      int
+	domainCount int
+	// availableDomains is the number of failure domains with an available
+	// engine.
+	availableDomains  int
+	memoryConstrained bool
+	held              map[assignmentKey]struct{}
+	reasons           map[assignmentKey]Reason
+	// newCopies lists the copies that the plan adds, in the order of the
+	// decisions.
+	newCopies []assignmentKey
+	// stable means that nothing has moved for some time.
+	stable bool
+	// uncertain means that some engine may become available shortly.
 	uncertain bool
-	// reduced lists the items that gave up copies for another's first.
+	// reduced is the set of items that gave up copies for another item's first
+	// copy.
 	reduced map[int]struct{}
 }
 
@@ -85,15 +90,15 @@
 		held:    make(map[assignmentKey]struct{}),
 		reasons: make(map[assignmentKey]Reason),
 		reduced: make(map[int]struct{}),
-		quiet:   in.Quiet,
+		stable:  in.Quiet,
 	}
 	byItem, byName := f.indexItems(in.Models, in.Demand)
 	f.indexEngines(in.Engines)
 	for i := range f.items {
-		f.items[i].domains = make([]int, f.domains)
+		f.items[i].domains = make([]int, f.domainCount)
 	}
-	f.adopt(byItem, byName)
-	f.tight = f.isTight()
+	f.assignHeldItems(byItem, byName)
+	f.memoryConstrained = f.isMemoryConstrained()
 	return f
 }
 
@@ -119,7 +124,7 @@
 	add := func(s itemState) int {
 		index := len(f.items)
 		s.demand = demand[s.item.Name()]
-		s.total = s.demand
+		s.totalDemand = s.demand
 		f.items = append(f.items, s)
 		byItem[s.item] = index
 		byName[s.item.Name()] = index
@@ -140,7 +145,7 @@
 				replicas: 1,
 			})
 			f.items[base].adapters = append(f.items[base].adapters, adapter)
-			f.items[base].total += f.items[adapter].demand
+			f.items[base].totalDemand += f.items[adapter].demand
 		}
 	}
 	return byItem, byName
@@ -162,16 +167,16 @@
 			members[domain] = append(members[domain], i)
 		}
 	}
-	f.domains = len(members)
+	f.domainCount = len(members)
 	for _, m := range members {
 		if len(m) > 0 {
-			f.usable++
+			f.availableDomains++
 		}
 	}
-	f.order = interleave(members)
+	f.visitOrder = interleave(members)
 }
 
-// interleave takes one of each list in turn.
+// interleave merges the lists by taking one element of each in turn.
 func interleave(lists [][]int) []int {
 	var out []int
 	for position := 0; ; position++ {
@@ -187,33 +192,33 @@
 	}
 }
 
-// adopt takes over what the available engines hold. Bases come first, since an
-// adapter counts only where its base model stays.
-func (f *fleet) adopt(byItem map[Item]int, byName map[Name]int) {
-	for _, e := range f.order {
+// assignHeldItems plans what the available engines hold already. Base models
+// come first, since an adapter counts only where its base model stays.
+func (f *fleet) assignHeldItems(byItem map[Item]int, byName map[Name]int) {
+	for _, e := range f.visitOrder {
 		state := &f.engines[e]
 		for _, bases := range []bool{true, false} {
 			for _, h := range state.spec.Holds {
 				if h.Item.IsBase() == bases {
-					f.adoptOne(e, h, byItem, byName)
+					f.assignHeldItem(e, h, byItem, byName)
 				}
 			}
 		}
 	}
 	for e := range f.engines {
-		f.engines[e].load = f.loadOf(e)
+		f.engines[e].load = f.engineLoad(e)
 		f.uncertain = f.uncertain || f.engines[e].spec.Uncertain
 	}
 }
 
-func (f *fleet) adoptOne(e int, h Held, byItem map[Item]int, byName map[Name]int) {
+func (f *fleet) assignHeldItem(e int, h Held, byItem map[Item]int, byName map[Name]int) {
 	state := &f.engines[e]
 	state.free -= h.Memory
 	index, current := byItem[h.Item]
 	if !current {
-		if other, named := byName[h.Item.Name()]; named {
-			state.stale = append(state.stale, other)
-			f.items[other].older = f.items[other].older || h.Ready
+		if currentIndex, named := byName[h.Item.Name()]; named {
+			state.otherVersions = append(state.otherVersions, currentIndex)
+			f.items[currentIndex].servesOtherVersion = f.items[currentIndex].servesOtherVersion || h.Ready
 		}
 		return
 	}
@@ -223,81 +228,81 @@
 	case h.Leaving:
 		state.blocked = append(state.blocked, index)
 		return
-	case base != noBase && !slices.Contains(state.wants, base):
-		state.dormant = append(state.dormant, index)
-		f.items[index].older = f.items[index].older || h.Ready
+	case base != noBase && !slices.Contains(state.planned, base):
+		state.inactiveAdapters = append(state.inactiveAdapters, index)
+		f.items[index].servesOtherVersion = f.items[index].servesOtherVersion || h.Ready
 		return
 	}
 	f.reasons[assignmentKey{e, index}] = ReasonStays
-	f.link(e, index)
+	f.assign(e, index)
 }
 
-// link records that an engine should hold an item.
-func (f *fleet) link(e, i int) {
-	f.engines[e].wants = append(f.engines[e].wants, i)
+// assign records that the plan assigns an item to an engine.
+func (f *fleet) assign(e, i int) {
+	f.engines[e].planned = append(f.engines[e].planned, i)
 	f.items[i].copies = append(f.items[i].copies, e)
 	f.items[i].domains[f.engines[e].domain]++
 }
 
-// add wants a new copy. The engine must have the room.
-func (f *fleet) add(e, i int, reason Reason) {
+// addCopy adds a new copy to the plan. The engine must have enough free memory.
+func (f *fleet) addCopy(e, i int, reason Reason) {
 	f.engines[e].free -= f.items[i].memory
 	f.engines[e].load += f.items[i].demand / float64(len(f.items[i].copies)+1)
 	f.reasons[assignmentKey{e, i}] = reason
-	f.sequence = append(f.sequence, assignmentKey{e, i})
-	f.link(e, i)
-	f.revive(e, i)
+	f.newCopies = append(f.newCopies, assignmentKey{e, i})
+	f.assign(e, i)
+	f.reactivateAdapters(e, i)
 }
 
-// revive wants the adapters that an engine holds already for a base model that
-// it is to get.
-func (f *fleet) revive(e, base int) {
+// reactivateAdapters plans the adapters that an engine already holds for a base
+// model that is added to it.
+func (f *fleet) reactivateAdapters(e, base int) {
 	state := &f.engines[e]
 	var rest []int
-	for _, a := range state.dormant {
+	for _, a := range state.inactiveAdapters {
 		if f.items[a].base != base {
 			rest = append(rest, a)
 			continue
 		}
 		f.reasons[assignmentKey{e, a}] = ReasonStays
-		f.link(e, a)
+		f.assign(e, a)
 	}
-	state.dormant = rest
+	state.inactiveAdapters = rest
 }
 
-// drop no longer wants a copy and counts its memory as room.
-func (f *fleet) drop(e, i int) {
+// dropCopy removes a copy from the plan and counts its memory as free.
+func (f *fleet) dropCopy(e, i int) {
 	item := &f.items[i]
 	f.engines[e].load -= item.demand / float64(len(item.copies))
 	f.engines[e].free += item.memory
-	f.engines[e].wants = without(f.engines[e].wants, i)
+	f.engines[e].planned = removeValue(f.engines[e].planned, i)
 	f.engines[e].blocked = append(f.engines[e].blocked, i)
-	item.copies = without(item.copies, e)
+	item.copies = removeValue(item.copies, e)
 	item.domains[f.engines[e].domain]--
 	delete(f.reasons, assignmentKey{e, i})
 }
 
-// wanted says whether a copy is part of the plan.
-func (f *fleet) wanted(e, i int) bool {
-	_, wanted := f.reasons[assignmentKey{e, i}]
-	return wanted
+// isPlanned reports whether a copy is part of the plan.
+func (f *fleet) isPlanned(e, i int) bool {
+	_, planned := f.reasons[assignmentKey{e, i}]
+	return planned
 }
 
-func without(list []int, value int) []int {
+func removeValue(list []int, value int) []int {
 	at := slices.Index(list, value)
 	return slices.Delete(list, at, at+1)
 }
 
-func (f *fleet) loadOf(e int) float64 {
+func (f *fleet) engineLoad(e int) float64 {
 	var load float64
-	for _, i := range f.engines[e].wants {
+	for _, i := range f.engines[e].planned {
 		load += f.items[i].demand / float64(len(f.items[i].copies))
 	}
 	return load
 }
 
-// domainsOf counts the failure domains with a copy.
-func (f *fleet) domainsOf(i int) int {
+// countDomains returns the number of failure domains with a copy of the item.
+func (f *fleet) countDomains(i int) int {
 	count := 0
 	for _, copies := range f.items[i].domains {
 		if copies > 0 {
@@ -307,7 +312,7 @@
 	return count
 }
 
-// groupMemory is the memory of a base model with all its adapters.
+// groupMemory returns the memory of a base model with all its adapters.
 func (f *fleet) groupMemory(base int) int64 {
 	memory := f.items[base].memory
 	for _, a := range f.items[base].adapters {
@@ -316,23 +321,24 @@
 	return memory
 }
 
-// tightShare is the share of the memory above which copies are packed closely.
-// Below it they are spread, which balances the load.
-const tightShare = 0.6
+// packingThreshold is the share of the memory that one copy of everything must
+// need for copies to be packed closely. Below it they are spread, which
+// balances the load.
+const packingThreshold = 0.6
 
-func (f *fleet) isTight() bool {
+func (f *fleet) isMemoryConstrained() bool {
 	var need, have int64
 	for i := range f.items {
 		need += f.items[i].memory
 	}
-	for _, e := range f.order {
+	for _, e := range f.visitOrder {
 		have += f.engines[e].spec.Capacity
 	}
-	return float64(need) > tightShare*float64(have)
+	return float64(need) > packingThreshold*float64(have)
 }
 
-// bases lists the base models, those with the largest groups first.
-func (f *fleet) bases() []int {
+// baseModels lists the base models, those with the largest groups first.
+func (f *fleet) baseModels() []int {
 	var bases []int
 	for i := range f.items {
 		if f.items[i].base == noBase {
--- a/internal/placement/pick.go
+++ b/internal/placement/pick.go
@@ -5,35 +5,37 @@
 	"slices"
 )
 
-// searchWidth bounds how many engines with room are compared for one copy. At
-// today's sizes that is all of them.
+// searchWidth bounds how many engines with enough free memory are compared for
+// one copy. Fleets of up to that many engines are searched in full.
 const searchWidth = 256
 
-// Penalties order the candidates: a failure domain without a copy comes before
-// an engine without another version, and that before balance.
+// Score penalties rank the candidates: avoiding a failure domain that already
+// has a copy matters most, then avoiding an engine that holds another version,
+// then balance.
 const (
-	sameDomainPenalty = 1e15
-	stalePenalty      = 1e14
+	sameDomainPenalty   = 1e15
+	otherVersionPenalty = 1e14
 )
 
-// anywhere lets pick choose any failure domain.
-const anywhere = -1
+// anyDomain lets pickEngine choose any failure domain.
+const anyDomain = -1
 
-// pick finds the engine for a new copy of item i that has room for need bytes,
-// in a failure domain without a copy of item apart unless that is anywhere.
-func (f *fleet) pick(i int, need int64, apart int) (int, bool) {
+// pickEngine returns the engine for a new copy of item i that has need bytes
+// free. Unless excludeDomainsOf is anyDomain, failure domains that already have
+// a copy of the item excludeDomainsOf are left out.
+func (f *fleet) pickEngine(i int, need int64, excludeDomainsOf int) (int, bool) {
 	best, bestScore := -1, 0.0
 	seen := 0
-	for k := range f.order {
-		at := f.cursor + k
-		if at >= len(f.order) {
-			at -= len(f.order)
+	for k := range f.visitOrder {
+		position := f.cursor + k
+		if position >= len(f.visitOrder) {
+			position -= len(f.visitOrder)
 		}
-		e := f.order[at]
-		if f.engines[e].free < need || !f.mayHold(e, i) {
+		e := f.visitOrder[position]
+		if f.engines[e].free < need || !f.canPlace(e, i) {
 			continue
 		}
-		if apart != anywhere && f.items[apart].domains[f.engines[e].domain] > 0 {
+		if excludeDomainsOf != anyDomain && f.items[excludeDomainsOf].domains[f.engines[e].domain] > 0 {
 			continue
 		}
 		score := f.score(e, i)
@@ -42,22 +44,23 @@
 		}
 		seen++
 		if seen == searchWidth {
-			f.cursor = at
+			f.cursor = position
 			break
 		}
 	}
 	return best, best >= 0
 }
 
-// mayHold says whether item i can be added on engine e: it is not there, is not
-// on its way out there and, for an adapter, has its base model there.
-func (f *fleet) mayHold(e, i int) bool {
+// canPlace reports whether item i can be added on engine e: it is not planned
+// there, it is not being removed there and, for an adapter, its base model is
+// planned there.
+func (f *fleet) canPlace(e, i int) bool {
 	state := &f.engines[e]
 	base := f.items[i].base
-	if base != noBase && !slices.Contains(state.wants, base) {
+	if base != noBase && !slices.Contains(state.planned, base) {
 		return false
 	}
-	return !slices.Contains(state.wants, i) && !slices.Contains(state.blocked, i)
+	return !slices.Contains(state.planned, i) && !slices.Contains(state.blocked, i)
 }
 
 func (f *fleet) score(e, i int) float64 {
@@ -66,22 +69,23 @@
 	if f.items[i].domains[state.domain] > 0 {
 		score += sameDomainPenalty
 	}
-	if slices.Contains(state.stale, i) {
-		score += stalePenalty
+	if slices.Contains(state.otherVersions, i) {
+		score += otherVersionPenalty
 	}
-	if f.tight {
+	if f.memoryConstrained {
 		return score + float64(state.free)
 	}
-	// The load counts first; the free share breaks ties among idle engines.
+	// Engines are ranked by load; the free share breaks ties among idle
+	// engines.
 	return score + state.load*1e3 - float64(state.free)/float64(max(1, state.spec.Capacity))
 }
 
-// pickAdapter finds the engine for a new copy of an adapter among those that
-// should hold its base model.
-func (f *fleet) pickAdapter(i int, newDomain bool) (int, bool) {
+// pickAdapterEngine returns the engine for a new copy of an adapter among those
+// that its base model is planned on.
+func (f *fleet) pickAdapterEngine(i int, newDomain bool) (int, bool) {
 	best, bestScore := -1, 0.0
 	for _, e := range f.items[f.items[i].base].copies {
-		if f.engines[e].free < f.items[i].memory || !f.mayHold(e, i) {
+		if f.engines[e].free < f.items[i].memory || !f.canPlace(e, i) {
 			continue
 		}
 		if newDomain && f.items[i].domains[f.engines[e].domain] > 0 {
@@ -95,37 +99,39 @@
 	return best, best >= 0
 }
 
-// need says how much of an item must remain when copies of it are given up.
-type need int
+// retention is how much of an item must remain when copies of it are removed.
+type retention int
 
 const (
-	// needOneCopy lets another item's first copy take a second one.
-	needOneCopy need = iota
-	// needTwoDomains keeps what the document and the failure domains ask for.
-	needTwoDomains
+	// keepOneCopy keeps one copy, so that another item's first copy can replace
+	// a second one.
+	keepOneCopy retention = iota
+	// keepTwoDomains keeps the replicas that the document requires and copies
+	// in two failure domains.
+	keepTwoDomains
 )
 
-// spare says whether the copy of item i on engine e can be given up.
-func (f *fleet) spare(e, i int, keep need) bool {
+// canRemove reports whether the copy of item i on engine e can be removed.
+func (f *fleet) canRemove(e, i int, keep retention) bool {
 	item := &f.items[i]
 	left := len(item.copies) - 1
 	if left < 1 {
 		return false
 	}
-	if keep == needOneCopy {
+	if keep == keepOneCopy {
 		return true
 	}
-	domains := f.domainsOf(i)
+	domains := f.countDomains(i)
 	if item.domains[f.engines[e].domain] == 1 {
 		domains--
 	}
-	return left >= item.replicas && domains >= min(2, f.usable)
+	return left >= item.replicas && domains >= min(2, f.availableDomains)
 }
 
-// group lists a base model on an engine with its adapters there.
-func (f *fleet) group(e, base int) []int {
+// baseWithAdapters lists a base model on an engine with its adapters there.
+func (f *fleet) baseWithAdapters(e, base int) []int {
 	members := []int{base}
-	for _, i := range f.engines[e].wants {
+	for _, i := range f.engines[e].planned {
 		if f.items[i].base == base {
 			members = append(members, i)
 		}
@@ -133,16 +139,16 @@
 	return members
 }
 
-// spareGroup returns the base model with its adapters on e if all can be given
-// up, and the memory that this frees.
-func (f *fleet) spareGroup(e, base int, keep need) ([]int, int64, bool) {
-	if !f.spare(e, base, keep) {
+// removableGroup returns the base model with its adapters on e if all of them
+// can be removed, and the memory that this frees.
+func (f *fleet) removableGroup(e, base int, keep retention) ([]int, int64, bool) {
+	if !f.canRemove(e, base, keep) {
 		return nil, 0, false
 	}
-	members := f.group(e, base)
+	members := f.baseWithAdapters(e, base)
 	var memory int64
 	for _, i := range members {
-		if !f.spare(e, i, keep) {
+		if !f.canRemove(e, i, keep) {
 			return nil, 0, false
 		}
 		memory += f.items[i].memory
@@ -150,86 +156,89 @@
 	return members, memory, true
 }
 
-// eviction is a set of copies on one engine that make room together.
+// eviction is a set of copies on one engine that are removed together to free
+// memory.
 type eviction struct {
 	engine int
 	items  []int
-	worth  float64
-	keep   need
+	cost   float64
+	keep   retention
 }
 
-// evictFor finds the least valuable copies whose memory makes room for need
-// bytes on an engine that may hold item i. Only engines accepted by ok count.
-func (f *fleet) evictFor(i int, needed int64, keep need, ok func(e int) bool) (eviction, bool) {
+// cheapestEviction finds the eviction with the lowest cost that frees needed
+// bytes on an engine where item i can be placed. Only engines accepted by ok
+// are considered.
+func (f *fleet) cheapestEviction(i int, needed int64, keep retention, ok func(e int) bool) (eviction, bool) {
 	var best eviction
 	found := false
-	for _, e := range f.order {
-		if !f.mayHold(e, i) || !ok(e) {
+	for _, e := range f.visitOrder {
+		if !f.canPlace(e, i) || !ok(e) {
 			continue
 		}
-		candidate, possible := f.evictOn(e, i, needed, keep)
-		if possible && (!found || candidate.worth < best.worth) {
+		candidate, possible := f.evictionOn(e, i, needed, keep)
+		if possible && (!found || candidate.cost < best.cost) {
 			best, found = candidate, true
 		}
 	}
 	return best, found
 }
 
-func (f *fleet) evictOn(e, i int, needed int64, keep need) (eviction, bool) {
+func (f *fleet) evictionOn(e, i int, needed int64, keep retention) (eviction, bool) {
 	out := eviction{engine: e, keep: keep}
 	room := f.engines[e].free
-	for _, unit := range f.spareUnits(e, i, keep) {
+	for _, unit := range f.removableUnits(e, i, keep) {
 		if room >= needed {
 			break
 		}
 		out.items = append(out.items, unit.items...)
-		out.worth += unit.worth
+		out.cost += unit.cost
 		room += unit.memory
 	}
 	return out, room >= needed
 }
 
-// unit is what can be given up at once: a base model with its adapters, or one
-// adapter alone.
-type unit struct {
+// evictionUnit is what can be evicted at once: a base model with its adapters,
+// or a single adapter.
+type evictionUnit struct {
 	items  []int
 	memory int64
-	worth  float64
+	cost   float64
 }
 
-// spareUnits lists what engine e could give up for item i, least valuable
-// first. Adapters go alone only where their base model has to stay.
-func (f *fleet) spareUnits(e, i int, keep need) []unit {
-	var units []unit
+// removableUnits lists what engine e could evict for item i, lowest cost first.
+// Adapters are evicted alone only where their base model has to stay.
+func (f *fleet) removableUnits(e, i int, keep retention) []evictionUnit {
+	var units []evictionUnit
 	ownBase := f.items[i].base
-	for _, candidate := range f.engines[e].wants {
+	for _, candidate := range f.engines[e].planned {
 		base := f.items[candidate].base
 		if base == noBase && candidate != ownBase {
-			if members, memory, ok := f.spareGroup(e, candidate, keep); ok {
-				units = append(units, unit{members, memory, f.worth(candidate)})
+			if members, memory, ok := f.removableGroup(e, candidate, keep); ok {
+				units = append(units, evictionUnit{members, memory, f.evictionCost(candidate)})
 			}
 			continue
 		}
-		if base == noBase || !f.spare(e, candidate, keep) {
+		if base == noBase || !f.canRemove(e, candidate, keep) {
 			continue
 		}
-		if _, _, whole := f.spareGroup(e, base, keep); !whole || base == ownBase {
-			units = append(units, unit{[]int{candidate}, f.items[candidate].memory, f.worth(candidate)})
+		if _, _, whole := f.removableGroup(e, base, keep); !whole || base == ownBase {
+			units = append(units, evictionUnit{[]int{candidate}, f.items[candidate].memory, f.evictionCost(candidate)})
 		}
 	}
-	slices.SortStableFunc(units, func(a, b unit) int { return cmp.Compare(a.worth, b.worth) })
+	slices.SortStableFunc(units, func(a, b evictionUnit) int { return cmp.Compare(a.cost, b.cost) })
 	return units
 }
 
-// worth is the demand that each remaining copy would carry if one were given up.
-func (f *fleet) worth(i int) float64 {
-	return f.items[i].total / float64(max(1, len(f.items[i].copies)-1))
+// evictionCost is the demand that each remaining copy would carry if one copy
+// were removed.
+func (f *fleet) evictionCost(i int) float64 {
+	return f.items[i].totalDemand / float64(max(1, len(f.items[i].copies)-1))
 }
 
 func (f *fleet) evict(ev eviction) {
 	for _, i := range ev.items {
-		f.drop(ev.engine, i)
-		if ev.keep == needOneCopy {
+		f.dropCopy(ev.engine, i)
+		if ev.keep == keepOneCopy {
 			f.reduced[i] = struct{}{}
 		}
 	}
--- a/internal/placement/placementmeasure/doc.go
+++ b/internal/placement/placementmeasure/doc.go
@@ -1,7 +1,7 @@
-// Command placementmeasure measures the placement: what a plan costs by size,
-// and how the policy does against a static placement and a least-recently-used
-// one on a trace of demand. It is a loop over function calls; engines are
-// counters.
+// Command placementmeasure measures the placement policy: the cost of a plan by
+// fleet size, and how the planner compares with a static placement and with a
+// least-recently-used policy on a demand trace. It simulates the fleet in one
+// process with function calls; engines are counters.
 //
 //	go run ./internal/placement/placementmeasure cost
 //	go run ./internal/placement/placementmeasure policy
--- a/internal/placement/placementmeasure/fleet.go
+++ b/internal/placement/placementmeasure/fleet.go
@@ -8,23 +8,23 @@
 	"github.com/chestnutarch/chestnutarch/internal/placement"
 )
 
-// size is one fleet to measure.
-type size struct {
+// fleetSize is the size of one fleet to measure.
+type fleetSize struct {
 	name                               string
 	engines, domains, models, adapters int
 }
 
-// The memory of the fleets: an accelerator of 80 GiB of which the KV cache keeps
-// 16, models of 14 to 28 GiB, adapters of 200 MiB.
+// Memory sizes of the fleets: an accelerator of 80 GiB, of which 16 GiB are
+// reserved for the KV cache, models of 14 to 28 GiB, adapters of 200 MiB.
 const (
-	usable        = 64 * document.GiB
+	weightMemory  = 64 * document.GiB
 	smallestModel = 14 * document.GiB
 	modelStep     = 2 * document.GiB
 	modelSteps    = 8
 	adapterMemory = 200 * document.MiB
 )
 
-func (s size) build() ([]document.Model, []placement.Engine) {
+func (s fleetSize) buildFleet() ([]document.Model, []placement.Engine) {
 	var models []document.Model
 	for i := range s.models {
 		models = append(models, document.Model{
@@ -40,13 +40,14 @@
 	for i := range s.engines {
 		engines = append(engines, placement.Engine{
 			Name: fmt.Sprintf("e%d", i), FailureDomain: fmt.Sprintf("d%d", i%s.domains),
-			Capacity: int64(usable), Available: true,
+			Capacity: int64(weightMemory), Available: true,
 		})
 	}
 	return models, engines
 }
 
-// randomDemand gives every name a rate; few names have most of it.
+// randomDemand returns a random rate for every name. The distribution is
+// skewed: few names have most of the demand.
 func randomDemand(models []document.Model, total float64, random *rand.Rand) map[placement.Name]float64 {
 	rates := make(map[placement.Name]float64)
 	var sum float64
@@ -66,8 +67,9 @@
 	return rates
 }
 
-// hold makes the engines hold what a plan assigns.
-func hold(engines []placement.Engine, p placement.Plan) []placement.Engine {
+// assignPlan returns a copy of the engines in which each holds exactly the
+// copies that the plan assigns to it.
+func assignPlan(engines []placement.Engine, p placement.Plan) []placement.Engine {
 	index := make(map[string]int, len(engines))
 	out := make([]placement.Engine, len(engines))
 	for i, e := range engines {
--- a/internal/placement/placementmeasure/trace.go
+++ b/internal/placement/placementmeasure/trace.go
@@ -10,30 +10,34 @@
 	"github.com/chestnutarch/chestnutarch/internal/placement"
 )
 
-// The trace: every model's demand moves tenfold within an hour and back, each at
-// its own time; and a flash crowd comes within a minute, for one model.
+// Parameters of the trace. Every model's demand rises and falls tenfold, from
+// its minimum to its maximum within an hour and back in the next, each model at
+// its own phase. In addition, flash crowds reach their full demand within a
+// minute, each for one model.
 const (
-	step       = 5 * time.Second
-	length     = 4 * time.Hour
-	swing      = 2 * time.Hour
-	rushEvery  = 30 * time.Minute
-	rushRamp   = time.Minute
-	rushLength = 15 * time.Minute
-	// rushShare is the demand of a rush as a share of the fleet's capacity.
-	rushShare = 0.15
-	// meanShare is the mean demand without rushes as a share of the capacity.
+	stepLength    = 5 * time.Second
+	traceLength   = 4 * time.Hour
+	wavePeriod    = 2 * time.Hour
+	crowdInterval = 30 * time.Minute
+	crowdRamp     = time.Minute
+	crowdLength   = 15 * time.Minute
+	// crowdShare is the demand of a flash crowd as a share of the fleet's
+	// capacity.
+	crowdShare = 0.15
+	// meanShare is the mean demand without flash crowds as a share of the
+	// capacity.
 	meanShare = 0.45
-	// baseShare is the share of a model's demand that names no adapter.
+	// baseShare is the share of a model's demand that is for no adapter.
 	baseShare = 0.5
 )
 
-// trace gives the demand of every name at any time, in tokens per second.
+// trace generates the demand of every name at any time, in tokens per second.
 type trace struct {
-	models   []document.Model
-	capacity float64
-	weight   []float64
-	phase    []float64
-	rushes   []int
+	models      []document.Model
+	capacity    float64
+	weight      []float64
+	phase       []float64
+	crowdModels []int
 }
 
 func newTrace(models []document.Model, capacity float64, random *rand.Rand) *trace {
@@ -48,18 +52,18 @@
 	for i := range t.weight {
 		t.weight[i] /= sum
 	}
-	for range int(length / rushEvery) {
-		t.rushes = append(t.rushes, random.IntN(len(models)))
+	for range int(traceLength / crowdInterval) {
+		t.crowdModels = append(t.crowdModels, random.IntN(len(models)))
 	}
 	return t
 }
 
-// at returns the demand at a time after the start.
-func (t *trace) at(now time.Duration) map[placement.Name]float64 {
+// demandAt returns the demand at a time since the start.
+func (t *trace) demandAt(now time.Duration) map[placement.Name]float64 {
 	out := make(map[placement.Name]float64)
 	for i, m := range t.models {
-		wave := math.Pow(10, 0.5*math.Sin(2*math.Pi*float64(now)/float64(swing)+t.phase[i]))
-		rate := t.capacity * (meanShare*t.weight[i]*wave + t.rush(i, now))
+		wave := math.Pow(10, 0.5*math.Sin(2*math.Pi*float64(now)/float64(wavePeriod)+t.phase[i]))
+		rate := t.capacity * (meanShare*t.weight[i]*wave + t.crowdDemand(i, now))
 		out[placement.Name{Model: m.Name}] = rate
 		if len(m.Adapters) == 0 {
 			continue
@@ -72,13 +76,13 @@
 	return out
 }
 
-func (t *trace) rush(model int, now time.Duration) float64 {
-	which := int(now / rushEvery)
-	since := now % rushEvery
-	if which >= len(t.rushes) || t.rushes[which] != model || since > rushLength {
+func (t *trace) crowdDemand(model int, now time.Duration) float64 {
+	which := int(now / crowdInterval)
+	since := now % crowdInterval
+	if which >= len(t.crowdModels) || t.crowdModels[which] != model || since > crowdLength {
 		return 0
 	}
-	return rushShare * min(1, float64(since)/float64(rushRamp))
+	return crowdShare * min(1, float64(since)/float64(crowdRamp))
 }
 
 func median(times []time.Duration) time.Duration {
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -2,44 +2,46 @@
 
 import "slices"
 
-// Make plans what every engine should hold. The same input gives the same plan.
+// Make computes what every engine should hold. The same input gives the same
+// plan.
 func Make(in Input) Plan {
 	f := newFleet(in)
-	f.firstCopies()
-	f.secondDomains()
-	f.replicas()
-	f.followDemand()
-	return f.plan()
+	f.placeFirstCopies()
+	f.placeSecondDomains()
+	f.placeReplicas()
+	f.addCopiesForDemand()
+	return f.buildPlan()
 }
 
-// firstCopies gives every item without a copy one.
-func (f *fleet) firstCopies() {
-	for _, b := range f.bases() {
+// placeFirstCopies adds a copy of every item that has none.
+func (f *fleet) placeFirstCopies() {
+	for _, b := range f.baseModels() {
 		if len(f.items[b].copies) == 0 {
-			f.firstBase(b)
+			f.placeFirstBase(b)
 		}
 		for _, a := range f.items[b].adapters {
 			if len(f.items[a].copies) == 0 {
-				f.firstAdapter(a)
+				f.placeFirstAdapter(a)
 			}
 		}
 	}
 }
 
-// firstBase places a base model, where its adapters fit too if that is possible.
-func (f *fleet) firstBase(b int) {
-	e, ok := f.pick(b, f.groupMemory(b), anywhere)
+// placeFirstBase places a base model, on an engine where its adapters fit too
+// if there is one.
+func (f *fleet) placeFirstBase(b int) {
+	e, ok := f.pickEngine(b, f.groupMemory(b), anyDomain)
 	if !ok {
-		e, ok = f.pick(b, f.items[b].memory, anywhere)
+		e, ok = f.pickEngine(b, f.items[b].memory, anyDomain)
 	}
 	if ok {
-		f.add(e, b, ReasonFirstCopy)
+		f.addCopy(e, b, ReasonFirstCopy)
 		return
 	}
 	for _, memory := range []int64{f.groupMemory(b), f.items[b].memory} {
-		if ev, found := f.evictFor(b, memory, f.sacrifice(b), anyEngine); found {
+		if ev, found := f.cheapestEviction(b, memory, f.retentionFor(b), anyEngine); found {
 			f.evict(ev)
-			f.add(ev.engine, b, ReasonFirstCopy)
+			f.addCopy(ev.engine, b, ReasonFirstCopy)
 			return
 		}
 	}
@@ -48,52 +50,53 @@
 
 func anyEngine(int) bool { return true }
 
-// sacrifice says what other items give up for an item's first copy. While an
-// engine may be back in a moment, nobody gives up a second failure domain: a few
-// lost reports and the loss of a domain together would else leave the giver
-// without a copy. Nor does anybody for a new version while the old one serves,
-// unless nothing has moved for long.
-func (f *fleet) sacrifice(i int) need {
-	if f.uncertain || (f.items[i].older && !f.quiet) {
-		return needTwoDomains
+// retentionFor returns how much other items must retain when they make room for
+// an item's first copy. While an engine may become available shortly, no item
+// gives up its second failure domain: a few lost reports together with the loss
+// of a domain would leave that item without a copy. Nor does any item give it
+// up for a new version while the old version serves, unless the fleet is
+// stable.
+func (f *fleet) retentionFor(i int) retention {
+	if f.uncertain || (f.items[i].servesOtherVersion && !f.stable) {
+		return keepTwoDomains
 	}
-	return needOneCopy
+	return keepOneCopy
 }
 
-func (f *fleet) firstAdapter(a int) {
-	if e, ok := f.pickAdapter(a, false); ok {
-		f.add(e, a, ReasonFirstCopy)
+func (f *fleet) placeFirstAdapter(a int) {
+	if e, ok := f.pickAdapterEngine(a, false); ok {
+		f.addCopy(e, a, ReasonFirstCopy)
 		return
 	}
 	memory := f.items[a].memory
-	if ev, found := f.evictFor(a, memory, f.sacrifice(a), anyEngine); found {
+	if ev, found := f.cheapestEviction(a, memory, f.retentionFor(a), anyEngine); found {
 		f.evict(ev)
-		f.add(ev.engine, a, ReasonFirstCopy)
+		f.addCopy(ev.engine, a, ReasonFirstCopy)
 		return
 	}
 	base := f.items[a].base
 	if len(f.items[base].copies) == 0 {
 		return
 	}
-	if e, ok := f.pick(base, f.items[base].memory+memory, anywhere); ok {
-		f.addPair(e, base, a, ReasonFirstCopy)
+	if e, ok := f.pickEngine(base, f.items[base].memory+memory, anyDomain); ok {
+		f.addBaseAndAdapter(e, base, a, ReasonFirstCopy)
 	}
 }
 
-// relocateFor makes room for an item that fits nowhere, although nothing can be
-// given up, by a copy of what is in the way on an engine with room. A later
-// plan, when that copy is ready, finds the old one spare and gives it up.
+// relocateFor makes room for an item that fits nowhere and for which nothing
+// can be removed: it copies what occupies the memory to another engine. Once
+// that copy is ready, a later plan can remove the old one.
 func (f *fleet) relocateFor(i int) {
-	for _, e := range f.order {
-		if !f.mayHold(e, i) {
+	for _, e := range f.visitOrder {
+		if !f.canPlace(e, i) {
 			continue
 		}
-		for _, b := range f.engines[e].wants {
+		for _, b := range f.engines[e].planned {
 			if f.items[b].base != noBase {
 				continue
 			}
-			members := f.group(e, b)
-			if f.engines[e].free+f.memoryOf(members) < f.items[i].memory {
+			members := f.baseWithAdapters(e, b)
+			if f.engines[e].free+f.totalMemory(members) < f.items[i].memory {
 				continue
 			}
 			if f.copyGroup(members) {
@@ -103,7 +106,7 @@
 	}
 }
 
-func (f *fleet) memoryOf(items []int) int64 {
+func (f *fleet) totalMemory(items []int) int64 {
 	var memory int64
 	for _, i := range items {
 		memory += f.items[i].memory
@@ -112,75 +115,76 @@
 }
 
 func (f *fleet) copyGroup(members []int) bool {
-	target, ok := f.pick(members[0], f.memoryOf(members), anywhere)
+	target, ok := f.pickEngine(members[0], f.totalMemory(members), anyDomain)
 	if !ok {
 		return false
 	}
 	for _, i := range members {
-		if !f.wanted(target, i) {
-			f.add(target, i, ReasonRelocation)
+		if !f.isPlanned(target, i) {
+			f.addCopy(target, i, ReasonRelocation)
 		}
 	}
 	return true
 }
 
-// secondDomains gives every item with copies in one failure domain a copy in
-// another, out of free memory and of copies beyond what their items need.
-func (f *fleet) secondDomains() {
-	if f.usable < 2 {
+// placeSecondDomains adds a copy in another failure domain for every item whose
+// copies are in one domain only, using free memory and copies beyond what their
+// items must retain.
+func (f *fleet) placeSecondDomains() {
+	if f.availableDomains < 2 {
 		return
 	}
-	for _, b := range f.bases() {
-		f.secondBase(b)
+	for _, b := range f.baseModels() {
+		f.placeBaseInSecondDomain(b)
 		for _, a := range f.items[b].adapters {
-			f.secondAdapter(a)
+			f.placeAdapterInSecondDomain(a)
 		}
 	}
 }
 
-func (f *fleet) secondBase(b int) {
-	if len(f.items[b].copies) == 0 || f.domainsOf(b) >= 2 {
+func (f *fleet) placeBaseInSecondDomain(b int) {
+	if len(f.items[b].copies) == 0 || f.countDomains(b) >= 2 {
 		return
 	}
-	e, ok := f.pick(b, f.groupMemory(b), b)
+	e, ok := f.pickEngine(b, f.groupMemory(b), b)
 	if !ok {
-		e, ok = f.pick(b, f.items[b].memory, b)
+		e, ok = f.pickEngine(b, f.items[b].memory, b)
 	}
 	if ok {
-		f.add(e, b, ReasonSecondDomain)
+		f.addCopy(e, b, ReasonSecondDomain)
 		return
 	}
 	f.evictInNewDomain(b)
 }
 
-func (f *fleet) secondAdapter(a int) {
-	if len(f.items[a].copies) == 0 || f.domainsOf(a) >= 2 {
+func (f *fleet) placeAdapterInSecondDomain(a int) {
+	if len(f.items[a].copies) == 0 || f.countDomains(a) >= 2 {
 		return
 	}
-	if e, ok := f.pickAdapter(a, true); ok {
-		f.add(e, a, ReasonSecondDomain)
+	if e, ok := f.pickAdapterEngine(a, true); ok {
+		f.addCopy(e, a, ReasonSecondDomain)
 		return
 	}
 	if f.evictInNewDomain(a) {
 		return
 	}
 	base := f.items[a].base
-	if e, ok := f.pickPair(base, a); ok {
-		f.addPair(e, base, a, ReasonSecondDomain)
+	if e, ok := f.pickEngineForPair(base, a); ok {
+		f.addBaseAndAdapter(e, base, a, ReasonSecondDomain)
 	}
 }
 
-func (f *fleet) addPair(e, base, a int, reason Reason) {
-	f.add(e, base, reason)
-	if !f.wanted(e, a) {
-		f.add(e, a, reason)
+func (f *fleet) addBaseAndAdapter(e, base, a int, reason Reason) {
+	f.addCopy(e, base, reason)
+	if !f.isPlanned(e, a) {
+		f.addCopy(e, a, reason)
 	}
 }
 
-// pickPair finds an engine for a further copy of a base model that lets its
-// adapter into another failure domain.
-func (f *fleet) pickPair(base, a int) (int, bool) {
-	e, ok := f.pick(base, f.items[base].memory+f.items[a].memory, a)
+// pickEngineForPair finds an engine for a further copy of a base model that
+// lets its adapter be placed in another failure domain.
+func (f *fleet) pickEngineForPair(base, a int) (int, bool) {
+	e, ok := f.pickEngine(base, f.items[base].memory+f.items[a].memory, a)
 	if !ok || slices.Contains(f.engines[e].blocked, a) {
 		return -1, false
 	}
@@ -189,33 +193,33 @@
 
 func (f *fleet) evictInNewDomain(i int) bool {
 	newDomain := func(e int) bool { return f.items[i].domains[f.engines[e].domain] == 0 }
-	ev, found := f.evictFor(i, f.items[i].memory, needTwoDomains, newDomain)
+	ev, found := f.cheapestEviction(i, f.items[i].memory, keepTwoDomains, newDomain)
 	if !found {
 		return false
 	}
 	f.evict(ev)
-	f.add(ev.engine, i, ReasonSecondDomain)
+	f.addCopy(ev.engine, i, ReasonSecondDomain)
 	return true
 }
 
-// replicas gives every model the copies that the document asks for, where
-// memory lets it.
-func (f *fleet) replicas() {
-	for _, b := range f.bases() {
+// placeReplicas adds copies up to the number of replicas in the document, where
+// memory allows it.
+func (f *fleet) placeReplicas() {
+	for _, b := range f.baseModels() {
 		for len(f.items[b].copies) > 0 && len(f.items[b].copies) < f.items[b].replicas {
-			e, ok := f.pick(b, f.items[b].memory, anywhere)
+			e, ok := f.pickEngine(b, f.items[b].memory, anyDomain)
 			if !ok {
 				break
 			}
-			f.add(e, b, ReasonReplicas)
+			f.addCopy(e, b, ReasonReplicas)
 		}
 	}
 }
 
-func (f *fleet) plan() Plan {
+func (f *fleet) buildPlan() Plan {
 	var p Plan
-	for _, key := range f.sequence {
-		if _, wanted := f.reasons[key]; wanted {
+	for _, key := range f.newCopies {
+		if _, planned := f.reasons[key]; planned {
 			p.Assignments = append(p.Assignments, f.assignment(key))
 			if _, held := f.held[key]; !held {
 				p.Moves++
@@ -225,8 +229,8 @@
 	slices.SortStableFunc(p.Assignments, func(a, b Assignment) int {
 		return urgency(a.Reason) - urgency(b.Reason)
 	})
-	for _, e := range f.order {
-		for _, i := range f.engines[e].wants {
+	for _, e := range f.visitOrder {
+		for _, i := range f.engines[e].planned {
 			key := assignmentKey{e, i}
 			if f.reasons[key] == ReasonStays {
 				p.Assignments = append(p.Assignments, f.assignment(key))
@@ -237,7 +241,7 @@
 		if _, reduced := f.reduced[i]; reduced {
 			p.Reduced = append(p.Reduced, f.items[i].item.Name())
 		}
-		switch f.domainsOf(i) {
+		switch f.countDomains(i) {
 		case 0:
 			p.Unplaced = append(p.Unplaced, f.items[i].item.Name())
 		case 1:
@@ -257,7 +261,7 @@
 	}
 }
 
-// urgency orders the reasons, the most urgent lowest.
+// urgency ranks the reasons; the most urgent has the lowest value.
 func urgency(r Reason) int {
 	order := []Reason{ReasonFirstCopy, ReasonRelocation, ReasonSecondDomain, ReasonReplicas, ReasonDemand, ReasonStays}
 	return slices.Index(order, r)
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -12,7 +12,7 @@
 	"github.com/chestnutarch/chestnutarch/internal/document"
 )
 
-// TestMain fixes the seed unless the command line gives another.
+// TestMain uses a fixed seed unless the command line gives another.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := make(map[string]bool)
@@ -25,8 +25,8 @@
 	os.Exit(m.Run())
 }
 
-// drawInput draws models with adapters and engines in three failure domains, some
-// of them not available, that hold an earlier plan.
+// drawInput draws models with adapters, and engines in three failure domains
+// that hold the copies of an earlier plan. Some engines are not available.
 func drawInput(t *rapid.T) Input {
 	in := Input{Demand: make(map[Name]float64)}
 	for i := range rapid.IntRange(1, 8).Draw(t, "models") {
@@ -43,7 +43,7 @@
 			Name: fmt.Sprintf("e%d", i), FailureDomain: fmt.Sprintf("d%d", i%3), Capacity: 64, Available: true,
 		})
 	}
-	hold(in.Engines, Make(in))
+	assignPlan(in.Engines, Make(in))
 	for i := range in.Engines {
 		in.Engines[i].Available = rapid.IntRange(0, 5).Draw(t, "up") > 0
 	}
@@ -56,9 +56,10 @@
 	return in
 }
 
-// A plan that does not fit, or puts an adapter where its base model is not,
-// could never be carried out: the adapter's callers would be refused for good.
-func TestPlansCanBeCarriedOut(t *testing.T) {
+// A plan that exceeds an engine's capacity, or puts an adapter on an engine
+// without its base model, could never be carried out: requests for the adapter
+// would be refused permanently.
+func TestPlansRespectCapacityAndKeepAdaptersWithTheirBase(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		p := Make(in)
@@ -73,15 +74,15 @@
 			require.True(t, e.Available || used[e.Name] == 0)
 		}
 		for _, a := range p.Assignments {
-			require.True(t, bases[a.Engine+"/"+a.Item.Model], "%v without its base", a)
+			require.True(t, bases[a.Engine+"/"+a.Item.Model], "%v is planned on an engine without its base model", a)
 		}
-		require.Equal(t, p, Make(in), "the same input gives the same plan")
+		require.Equal(t, p, Make(in), "the same input must give the same plan")
 	})
 }
 
-// Two equally busy models must not push each other out in turn: each push is a
-// load that the weight store has to bear and callers have to wait for.
-func TestPlanSettles(t *testing.T) {
+// Two equally busy models must not evict each other in turn: each eviction
+// causes a load that the weight store has to serve and that callers wait for.
+func TestPlansConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		for range 30 {
@@ -92,13 +93,13 @@
 			for i := range in.Engines {
 				in.Engines[i].Holds = nil
 			}
-			hold(in.Engines, p)
+			assignPlan(in.Engines, p)
 		}
-		t.Fatalf("still moving after 30 plans")
+		t.Fatalf("the plan still moves copies after 30 iterations")
 	})
 }
 
-func fits(engines, models int, memory document.Bytes) *document.Document {
+func testDocument(engines, models int, memory document.Bytes) *document.Document {
 	doc := &document.Document{}
 	for i := range engines {
 		doc.Engines = append(doc.Engines, document.Engine{
@@ -111,35 +112,37 @@
 	return doc
 }
 
-func TestFitsShowsTheArithmetic(t *testing.T) {
-	require.NoError(t, Fits(fits(2, 6, 20*document.GiB)))
-	// The sum fits, 120 of 128 GiB, but no engine has room for three of 24.
-	err := Fits(fits(2, 5, 24*document.GiB))
+func TestFitsReportsTheMemoryBudget(t *testing.T) {
+	require.NoError(t, Fits(testDocument(2, 6, 20*document.GiB)))
+	// The sum fits, 120 of 128 GiB, but no engine has memory for three models
+	// of 24 GiB.
+	err := Fits(testDocument(2, 5, 24*document.GiB))
 	require.ErrorIs(t, err, ErrDoesNotFit)
 	require.ErrorContains(t, err, "models 120.00GiB + adapters 0.00GiB = 120.00GiB; "+
 		"engines 160.00GiB - KV-cache reserve 32.00GiB = 128.00GiB; largest model 24.00GiB, largest engine 64.00GiB")
 	require.ErrorContains(t, err, "no place for m4")
 }
 
-// All models are replaced in one change where there is no room for any beside
-// what is in force. Accepted, it would wait for ever or take models away.
-func TestChangeThatCannotBeLoadedBesideIsRefused(t *testing.T) {
-	before := fits(2, 6, 20*document.GiB)
-	after := fits(2, 6, 20*document.GiB)
+// All models are replaced in one change and there is no memory for any new
+// version beside the current one. If the change were accepted, it would never
+// complete or would leave models without a copy.
+func TestChangeThatDoesNotFitBesideTheCurrentDocumentIsRefused(t *testing.T) {
+	before := testDocument(2, 6, 20*document.GiB)
+	after := testDocument(2, 6, 20*document.GiB)
 	for i := range after.Models {
 		after.Models[i].Version = "v2"
 	}
 	require.NoError(t, Fits(after))
 	require.ErrorIs(t, FitsChange(before, after), ErrDoesNotFit)
-	require.NoError(t, FitsChange(fits(4, 6, 20*document.GiB), fits(4, 6, 20*document.GiB)))
+	require.NoError(t, FitsChange(testDocument(4, 6, 20*document.GiB), testDocument(4, 6, 20*document.GiB)))
 }
 
-// A failure domain is lost. What had its copies there is loaded where there is
-// room, before anyone gets a copy for demand.
-func TestLostDomainIsReplacedFirst(t *testing.T) {
-	doc := fits(3, 3, 20*document.GiB)
+// After the loss of a failure domain, the items that had copies there are
+// loaded where there is memory, before any copy is added for demand.
+func TestCopiesOfALostDomainAreReplacedBeforeDemandIsServed(t *testing.T) {
+	doc := testDocument(3, 3, 20*document.GiB)
 	in := Input{Models: doc.Models, Engines: EnginesOf(doc)}
-	hold(in.Engines, Make(in))
+	assignPlan(in.Engines, Make(in))
 	in.Engines[0].Available = false
 	in.Demand = map[Name]float64{{Model: "m0"}: 1000}
 	p := Make(in)
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -2,8 +2,8 @@
 
 import "github.com/chestnutarch/chestnutarch/internal/document"
 
-// Name is what callers ask for: a base model if Adapter is empty, else an
-// adapter on that model. A name keeps its meaning over versions.
+// Name identifies what callers request: a base model if Adapter is empty,
+// otherwise an adapter on that model. A name stays the same across versions.
 type Name struct {
 	Model   string `json:"model"`
 	Adapter string `json:"adapter,omitempty"`
@@ -29,12 +29,12 @@
 	return Name{Model: i.Model, Adapter: i.Adapter}
 }
 
-// IsBase says whether the item is a base model.
+// IsBase reports whether the item is a base model.
 func (i Item) IsBase() bool {
 	return i.Adapter == ""
 }
 
-// Held is an item that an engine holds or may come to hold.
+// Held is an item that is resident on an engine or may become resident there.
 type Held struct {
 	Item Item
 	// Memory is in bytes.
@@ -49,34 +49,40 @@
 type Engine struct {
 	// Name identifies the engine.
 	Name string
-	// FailureDomain is where it stands.
+	// FailureDomain is the failure domain that the engine is in.
 	FailureDomain string
-	// Capacity is the memory for weights in bytes: the engine's memory less
+	// Capacity is the memory for weights in bytes: the engine's memory minus
 	// its KV-cache reserve.
 	Capacity int64
-	// Available means that the engine answers and is not draining. Copies on
+	// Available means that the engine responds and is not draining. Copies on
 	// an engine that is not available do not count.
 	Available bool
-	// Uncertain means that the engine is not available but may be in a moment:
-	// its copies do not count, but nothing is given up for them yet.
+	// Uncertain means that the engine is not available but may become available
+	// shortly. Its copies do not count, but no item gives up its second failure
+	// domain to replace them yet.
 	Uncertain bool
 	// Holds lists every item that could be resident.
 	Holds []Held
 }
 
-// Options tunes the policy. The zero value of a field selects its default.
+// Options configures the placement policy. The zero value of a field selects
+// its default.
 type Options struct {
-	// Hysteresis is by how much more an item must be worth than the copy it
-	// replaces, as a share of that copy's worth. The default is 0.5.
+	// Hysteresis is how far the demand that a new copy would carry must exceed
+	// the eviction cost of the copy that it replaces, as a fraction of that
+	// cost. The eviction cost is the demand that each remaining copy would
+	// carry. The default is 0.5.
 	Hysteresis float64
-	// MoveCost is what one move costs, in the unit of demand. A copy is
-	// replaced only for one that is worth this much more. The default is 1.
+	// MoveCost is the cost of one move, in the unit of demand. The demand that
+	// a replacement would carry must exceed the eviction cost by this much, in
+	// addition to Hysteresis. The default is 1.
 	MoveCost float64
 	// CopyTarget is the demand that one copy serves within its objectives. No
-	// copy is added for demand below it. The default is 1.
+	// copy is added while the demand per copy is at or below it. The default is
+	// 1.
 	CopyTarget float64
-	// MaxMoves bounds the copies that one plan adds for demand. The default
-	// is 32 and at least a quarter of the engines.
+	// MaxMoves bounds the copies that one plan adds for demand. The default is
+	// 32, or a quarter of the number of engines if that is more.
 	MaxMoves int
 }
 
@@ -90,25 +96,26 @@
 
 // Input is everything that a plan depends on.
 type Input struct {
-	// Models are the document's.
+	// Models are the models in the document.
 	Models []document.Model
-	// Engines are the document's, with what they hold.
+	// Engines are the engines in the document, with the items that each holds.
 	Engines []Engine
 	// Demand is the offered load by name in tokens per second. A name that is
 	// missing has no demand.
 	Demand map[Name]float64
-	// Quiet means that for some time every engine was there and every copy
-	// served. Only then other names give up a second failure domain for a new
-	// version whose old one serves: before, room may still come by itself.
+	// Quiet means that for some time every engine has been available and every
+	// copy has been serving. Only then do other names give up their second
+	// failure domain for a new version whose old version still serves. Before
+	// that, memory may still become free by itself.
 	Quiet bool
-	// Options tunes the policy.
+	// Options configures the policy.
 	Options Options
 }
 
-// Reason says why a copy is wanted.
+// Reason is why a copy is planned.
 type Reason string
 
-// The reasons, the most urgent first.
+// The reasons for a copy.
 const (
 	ReasonFirstCopy    Reason = "first copy"
 	ReasonSecondDomain Reason = "second failure domain"
@@ -124,7 +131,7 @@
 	Item   Item   `json:"item"`
 	// Memory is in bytes.
 	Memory int64 `json:"memory"`
-	// Reason says why.
+	// Reason is why the copy is planned.
 	Reason Reason `json:"reason"`
 }
 
@@ -132,13 +139,13 @@
 type Plan struct {
 	// Assignments lists the copies, the most urgent first.
 	Assignments []Assignment `json:"assignments"`
-	// Unplaced lists names without any copy for want of memory.
+	// Unplaced lists names that have no copy because memory is short.
 	Unplaced []Name `json:"unplaced,omitempty"`
 	// OneDomain lists names with copies in a single failure domain only.
 	OneDomain []Name `json:"one_domain,omitempty"`
 	// Reduced lists names that give up copies, down to one, so that another
-	// name gets its first.
+	// name gets its first copy.
 	Reduced []Name `json:"reduced,omitempty"`
-	// Moves is the number of copies that are not held yet.
+	// Moves is the number of planned copies that are not held yet.
 	Moves int `json:"moves"`
 }
