--- a/internal/planner/calls.go
+++ b/internal/planner/calls.go
@@ -12,25 +12,25 @@
 	"github.com/chestnutarch/chestnutarch/internal/placement"
 )
 
-// carryOut starts what the book asks for.
-func (l *leadership) carryOut(ctx context.Context, action order.Action) {
+// execute starts an action that the book returned.
+func (l *leadership) execute(ctx context.Context, action order.Action) {
 	switch a := action.(type) {
 	case order.Read:
-		l.call(ctx, l.storeSlots, func() func() { return l.read(ctx, a) })
+		l.startCall(ctx, l.storeSlots, func() func() { return l.readKey(ctx, a) })
 	case order.Write:
-		l.call(ctx, l.storeSlots, func() func() { return l.write(ctx, a) })
+		l.startCall(ctx, l.storeSlots, func() func() { return l.writeKey(ctx, a) })
 	case order.Poll:
-		url := l.urls[a.Engine]
-		l.call(ctx, l.engineSlots, func() func() { return l.poll(ctx, url, a) })
+		url := l.engineURLs[a.Engine]
+		l.startCall(ctx, l.engineSlots, func() func() { return l.pollEngine(ctx, url, a) })
 	case order.Send:
-		url := l.urls[a.Engine]
-		l.call(ctx, l.engineSlots, func() func() { return l.send(ctx, url, a) })
+		url := l.engineURLs[a.Engine]
+		l.startCall(ctx, l.engineSlots, func() func() { return l.sendOrder(ctx, url, a) })
 	}
 }
 
-// call runs work beside the owner, when a slot is free, and hands its result
-// back to it.
-func (l *leadership) call(ctx context.Context, slots chan struct{}, work func() func()) {
+// startCall runs work in a goroutine of its own once a slot is free, and passes
+// the completion that work returns to the owner of the state.
+func (l *leadership) startCall(ctx context.Context, slots chan struct{}, work func() func()) {
 	l.calls.Go(func() error {
 		select {
 		case slots <- struct{}{}:
@@ -40,32 +40,32 @@
 		result := work()
 		<-slots
 		select {
-		case l.events <- result:
+		case l.completions <- result:
 		case <-ctx.Done():
 		}
 		return nil
 	})
 }
 
-func (l *leadership) read(ctx context.Context, a order.Read) func() {
+func (l *leadership) readKey(ctx context.Context, a order.Read) func() {
 	entry, err := l.planner.options.Store.Get(ctx, a.Key)
 	known := err == nil || errors.Is(err, kv.ErrNotFound)
 	if !known {
-		pause(ctx, failurePause)
+		sleep(ctx, storeFailureDelay)
 	}
 	return func() {
 		l.book.ReadDone(a.Key, order.Stored{Revision: entry.Revision, Value: entry.Value}, known)
 	}
 }
 
-func (l *leadership) write(ctx context.Context, a order.Write) func() {
+func (l *leadership) writeKey(ctx context.Context, a order.Write) func() {
 	result, err := l.planner.options.Store.CompareAndSwap(ctx, a.Key, a.Expected, a.Value, kv.NoLease)
 	outcome := order.OutcomeUnknown
 	switch {
 	case err != nil:
-		// Also an error that promises that nothing was sent is read back: the
-		// book then goes one way only.
-		pause(ctx, failurePause)
+		// The key is read back even after an error that guarantees that nothing
+		// was sent, so that the book handles all failed writes in one way.
+		sleep(ctx, storeFailureDelay)
 	case result.Outcome == kv.TookEffect:
 		outcome = order.TookEffect
 	case result.Outcome == kv.DidNot:
@@ -78,9 +78,9 @@
 	return func() { l.book.Written(a.Key, outcome, result.Revision, current) }
 }
 
-func (l *leadership) poll(ctx context.Context, url string, a order.Poll) func() {
-	load, err := l.planner.reports.Load(ctx, url)
-	// Another engine may listen at the address meanwhile.
+func (l *leadership) pollEngine(ctx context.Context, url string, a order.Poll) func() {
+	load, err := l.planner.loadClient.Load(ctx, url)
+	// Another engine may be listening at the address by now.
 	ok := err == nil && load.Engine == a.Engine
 	report := order.Report{
 		Incarnation: load.Incarnation,
@@ -109,12 +109,12 @@
 	return false
 }
 
-func (l *leadership) send(ctx context.Context, url string, a order.Send) func() {
+func (l *leadership) sendOrder(ctx context.Context, url string, a order.Send) func() {
 	kind := engine.OrderLoad
 	if a.Order.Kind == order.Unload {
 		kind = engine.OrderUnload
 	}
-	status, err := l.planner.orders.Send(ctx, url, a.Incarnation, engine.Order{
+	status, err := l.planner.orderClient.Send(ctx, url, a.Incarnation, engine.Order{
 		OrderID: a.Order.ID,
 		Fence:   a.Order.Fence,
 		Kind:    kind,
@@ -122,14 +122,14 @@
 		Memory:  a.Order.Memory,
 	})
 	if err != nil {
-		l.log.Debug().Err(err).Str("engine", a.Engine).Str("order", a.Order.ID).Msg("order unanswered")
+		l.log.Debug().Err(err).Str("engine", a.Engine).Str("order", a.Order.ID).Msg("order call to the engine failed")
 		return func() { l.book.Unanswered(a, l.planner.options.Clock().Wall) }
 	}
-	l.noteAnswer(a, kind, status)
+	l.recordAnswer(a, kind, status)
 	return func() { l.book.Answered(a, answerOf(status.State), l.planner.options.Clock().Wall) }
 }
 
-func (l *leadership) noteAnswer(a order.Send, kind engine.OrderKind, status engine.OrderStatus) {
+func (l *leadership) recordAnswer(a order.Send, kind engine.OrderKind, status engine.OrderStatus) {
 	if status.State == engine.OrderRunning {
 		return
 	}
--- a/internal/planner/demand.go
+++ b/internal/planner/demand.go
@@ -18,19 +18,20 @@
 
 // Bounds on demand reports.
 const (
-	// maxReportBytes bounds one report.
+	// maxReportBytes bounds the size of one report.
 	maxReportBytes = 64 << 10
-	// reportBuffer is how many reports may wait; a report that finds no room is
-	// dropped, and the VM's next one takes its place.
-	reportBuffer = 512
-	// DefaultReportEvery is the time between an entry VM's reports.
-	DefaultReportEvery = time.Second
+	// maxQueuedReports bounds the queue of received reports. A report that
+	// arrives when the queue is full is dropped, and the VM's next one replaces
+	// it.
+	maxQueuedReports = 512
+	// DefaultReportInterval is the time between an entry VM's reports.
+	DefaultReportInterval = time.Second
 )
 
-// serveDemand takes in an entry VM's report, or names the leader to send it to.
+// serveDemand accepts an entry VM's report, or names the leader to send it to.
 func (p *Planner) serveDemand(w http.ResponseWriter, r *http.Request) {
 	if p.status.Load() == nil {
-		p.misdirected(w)
+		p.writeMisdirected(w)
 		return
 	}
 	var report demand.Report
@@ -39,28 +40,28 @@
 		return
 	}
 	select {
-	case p.demand <- report:
+	case p.demandReports <- report:
 		w.WriteHeader(http.StatusNoContent)
 	default:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// hearDemand takes in the reports that wait.
-func (l *leadership) hearDemand(now time.Time) {
+// receiveDemandReports passes all queued reports to the estimator.
+func (l *leadership) receiveDemandReports(now time.Time) {
 	for {
 		select {
-		case r := <-l.planner.demand:
-			l.demand.Hear(r, now)
+		case r := <-l.planner.demandReports:
+			l.estimator.Hear(r, now)
 		default:
 			return
 		}
 	}
 }
 
-// Reporter counts what one entry VM is asked for and reports it to the leading
-// planner. A report that does not arrive is not repeated: the next one says
-// what is asked for then.
+// Reporter counts the offered load of one entry VM and reports it to the
+// leading planner. A report that is not delivered is not repeated: the next one
+// carries the demand of the next window.
 type Reporter struct {
 	options ReporterOptions
 	lock    sync.Mutex
@@ -74,40 +75,42 @@
 	VM string
 	// Environment names the environment.
 	Environment string
-	// Store is the key-value service, which names the leader.
+	// Store is the key-value service, which holds the leader key.
 	Store kv.Store
 	// Client calls the leader.
 	Client *http.Client
-	// Every is the time between reports. The default is DefaultReportEvery.
-	Every time.Duration
+	// Interval is the time between reports. The default is
+	// DefaultReportInterval.
+	Interval time.Duration
 }
 
-// NewReporter returns a reporter. Run makes it report.
+// NewReporter returns a reporter. It sends reports while Run is running.
 func NewReporter(o ReporterOptions) *Reporter {
-	if o.Every <= 0 {
-		o.Every = DefaultReportEvery
+	if o.Interval <= 0 {
+		o.Interval = DefaultReportInterval
 	}
 	return &Reporter{options: o, counter: demand.NewCounter(time.Now())}
 }
 
-// Add counts tokens that a caller asked for.
+// Add counts tokens that a caller requested.
 func (r *Reporter) Add(model, adapter string, tokens int64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.counter.Add(placement.Name{Model: model, Adapter: adapter}, tokens)
 }
 
-// leaderLookups is how many reports pass between two look-ups of a leader that
-// is not known, which bounds what an outage of the planners costs the service.
-const leaderLookups = 5
+// reportsPerLeaderLookup is the number of reports between two lookups of the
+// leader while it is unknown. It bounds the load on the key-value service
+// during an outage of the planners.
+const reportsPerLeaderLookup = 5
 
-// Run reports until ctx ends, and returns nil then.
+// Run sends reports until ctx ends, and then returns nil.
 func (r *Reporter) Run(ctx context.Context) error {
-	for round := 0; pause(ctx, r.options.Every); round++ {
-		if r.leader == "" && round%leaderLookups == 0 {
+	for round := 0; sleep(ctx, r.options.Interval); round++ {
+		if r.leader == "" && round%reportsPerLeaderLookup == 0 {
 			r.findLeader(ctx)
 		}
-		r.report(ctx)
+		r.reportOnce(ctx)
 	}
 	return nil
 }
@@ -118,14 +121,14 @@
 	}
 }
 
-func (r *Reporter) report(ctx context.Context) {
+func (r *Reporter) reportOnce(ctx context.Context) {
 	r.lock.Lock()
 	report := r.counter.Cut(r.options.VM, time.Now())
 	r.lock.Unlock()
 	if r.leader == "" {
 		return
 	}
-	leader, err := r.send(ctx, report)
+	leader, err := r.sendReport(ctx, report)
 	if err != nil {
 		r.leader = ""
 		return
@@ -133,12 +136,12 @@
 	r.leader = leader
 }
 
-// errReport means that a report was not taken.
-var errReport = errors.New("planner: demand report not taken")
+// errReportNotAccepted means that the planner did not accept a report.
+var errReportNotAccepted = errors.New("planner: demand report not accepted")
 
-// send sends a report and returns where to send the next one.
-func (r *Reporter) send(ctx context.Context, report demand.Report) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, r.options.Every)
+// sendReport sends a report and returns the address to send the next one to.
+func (r *Reporter) sendReport(ctx context.Context, report demand.Report) (string, error) {
+	ctx, cancel := context.WithTimeout(ctx, r.options.Interval)
 	defer cancel()
 	body, err := json.Marshal(report)
 	if err != nil {
@@ -148,18 +151,18 @@
 	if err != nil {
 		return "", errors.WithStack(err)
 	}
-	answer, err := r.options.Client.Do(request)
+	response, err := r.options.Client.Do(request)
 	if err != nil {
 		return "", errors.WithStack(err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	switch answer.StatusCode {
+	defer func() { _ = response.Body.Close() }()
+	switch response.StatusCode {
 	case http.StatusNoContent, http.StatusServiceUnavailable:
 		return r.leader, nil
 	case http.StatusMisdirectedRequest:
 		var leader Leader
-		err := json.NewDecoder(io.LimitReader(answer.Body, maxReportBytes)).Decode(&leader)
+		err := json.NewDecoder(io.LimitReader(response.Body, maxReportBytes)).Decode(&leader)
 		return leader.URL, errors.WithStack(err)
 	}
-	return "", errReport
+	return "", errReportNotAccepted
 }
--- a/internal/planner/election.go
+++ b/internal/planner/election.go
@@ -14,10 +14,12 @@
 )
 
 var (
-	// errNotElected means that another planner leads, or that it is not known.
+	// errNotElected means that another planner leads, or that the leader is not
+	// known.
 	errNotElected = errors.New("planner: not elected")
-	// errDeposed means that leadership has ended or can no longer be relied on.
-	errDeposed = errors.New("planner: deposed")
+	// errLeadershipLost means that leadership has ended or can no longer be
+	// relied on.
+	errLeadershipLost = errors.New("planner: leadership lost")
 )
 
 // Leader is the value of the leader key.
@@ -26,31 +28,34 @@
 	VM string `json:"vm"`
 	// URL is where the leader's handler is served.
 	URL string `json:"url"`
-	// Nonce tells one candidacy from every other.
+	// Nonce distinguishes one candidacy from every other.
 	Nonce string `json:"nonce"`
 }
 
-// term is one leadership. The lease saves work; it does not make orders safe,
-// since a paused process can act on a lease that lapsed meanwhile.
+// term is one term of leadership. The lease avoids duplicate work; it does not
+// make orders safe, since a paused process can act on a lease that has expired
+// in the meantime.
 type term struct {
 	lease kv.LeaseID
-	// fence is the revision of the leader key. A later leader's is larger.
+	// fence is the fencing token: the revision of the leader key. A later
+	// leader has a larger one.
 	fence int64
-	// renewed is when the last confirmed renewal was sent.
-	renewed clock.Reading
+	// renewedAt is when the last confirmed renewal was sent.
+	renewedAt clock.Reading
 }
 
-// marginShare is the part of the lease that is left unused, for the drift
-// between the service's clock and ours.
-const marginShare = 5
+// leaseMarginDivisor determines the safety margin: this fraction of the lease,
+// one fifth, is left unused to allow for drift between the service's clock and
+// the local one.
+const leaseMarginDivisor = 5
 
-// valid says whether the lease can still be relied on.
+// valid reports whether the lease can still be relied on.
 func (t *term) valid(now clock.Reading, ttl time.Duration) bool {
-	return clock.Elapsed(t.renewed, now) < ttl-ttl/marginShare
+	return clock.Elapsed(t.renewedAt, now) < ttl-ttl/leaseMarginDivisor
 }
 
 // campaign tries once to become leader. It returns errNotElected if another
-// planner leads, or the service's error.
+// planner leads, or the error of the key-value service.
 func (p *Planner) campaign(ctx context.Context) (*term, error) {
 	sent := p.options.Clock()
 	lease, err := p.options.Store.Grant(ctx, p.options.LeaseTTL)
@@ -61,18 +66,19 @@
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	fence, err := p.claim(ctx, value, lease)
+	fence, err := p.claimLeaderKey(ctx, value, lease)
 	if err != nil {
-		// A write whose answer was lost may still come. It cannot take effect
-		// once its lease is gone.
-		p.revoke(ctx, lease)
+		// The request of a write whose response was lost may still arrive. It
+		// cannot take effect once its lease is revoked.
+		p.revokeLease(ctx, lease)
 		return nil, err
 	}
-	return &term{lease: lease, fence: fence, renewed: sent}, nil
+	return &term{lease: lease, fence: fence, renewedAt: sent}, nil
 }
 
-// claim writes the leader key if it is free, and returns its revision.
-func (p *Planner) claim(ctx context.Context, value []byte, lease kv.LeaseID) (int64, error) {
+// claimLeaderKey writes the leader key if it is free, and returns the key's
+// revision.
+func (p *Planner) claimLeaderKey(ctx context.Context, value []byte, lease kv.LeaseID) (int64, error) {
 	result, err := p.options.Store.CompareAndSwap(ctx, p.leaderKey(), kv.RevisionAbsent, value, lease)
 	if err != nil {
 		return 0, err
@@ -87,40 +93,42 @@
 	if err == nil && bytes.Equal(entry.Value, value) {
 		return entry.Revision, nil
 	}
-	p.noteLeader(entry.Value)
+	p.recordLeader(entry.Value)
 	return 0, errNotElected
 }
 
-func (p *Planner) noteLeader(value []byte) {
+func (p *Planner) recordLeader(value []byte) {
 	var leader Leader
 	if json.Unmarshal(value, &leader) == nil {
 		p.leader.Store(&leader)
 	}
 }
 
-// renew keeps the term's lease alive. It returns kv.ErrLeaseGone if that is no
-// longer possible.
-func (p *Planner) renew(ctx context.Context, lease kv.LeaseID) (clock.Reading, error) {
+// renewLease keeps the term's lease alive and returns when the renewal was
+// sent. It returns kv.ErrLeaseGone if the lease no longer exists.
+func (p *Planner) renewLease(ctx context.Context, lease kv.LeaseID) (clock.Reading, error) {
 	sent := p.options.Clock()
 	return sent, p.options.Store.KeepAlive(ctx, lease)
 }
 
-// revokeTimeout bounds the hand-over at a planned stop.
+// revokeTimeout bounds the revocation of the lease, and with it the hand-over
+// at a planned stop.
 const revokeTimeout = time.Second
 
-// revoke ends a lease, also when ctx has ended: a successor then need not wait
-// for the lease to lapse.
-func (p *Planner) revoke(ctx context.Context, lease kv.LeaseID) {
+// revokeLease revokes a lease, even if ctx has ended, so that a successor need
+// not wait for the lease to expire.
+func (p *Planner) revokeLease(ctx context.Context, lease kv.LeaseID) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), revokeTimeout)
 	defer cancel()
 	if err := p.options.Store.Revoke(ctx, lease); err != nil {
-		p.options.Log.Warn().Err(err).Msg("lease not revoked; it lapses by itself")
+		p.options.Log.Warn().Err(err).Msg("lease could not be revoked; it ends when its TTL expires")
 	}
 }
 
-// awaitVacancy waits until the leader key may be free. A watch can go silent,
-// so it never waits longer than half a lease.
-func (p *Planner) awaitVacancy(ctx context.Context) {
+// awaitFreeLeaderKey waits until the leader key may be free. A watch can stop
+// delivering events without an error, so it never waits longer than half the
+// lease TTL.
+func (p *Planner) awaitFreeLeaderKey(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, p.options.LeaseTTL/2)
 	defer cancel()
 	entry, err := p.options.Store.Get(ctx, p.leaderKey())
@@ -128,7 +136,7 @@
 		return
 	}
 	if err == nil {
-		p.noteLeader(entry.Value)
+		p.recordLeader(entry.Value)
 		if events, err := p.options.Store.Watch(ctx, p.leaderKey(), entry.Revision); err == nil {
 			awaitDeletion(ctx, events)
 			return
@@ -154,9 +162,10 @@
 	}
 }
 
-// FindLeader reads which planner leads. It returns kv.ErrNotFound if none does.
+// FindLeader reads from the leader key which planner leads. It returns
+// kv.ErrNotFound if none does.
 func FindLeader(ctx context.Context, store kv.Store, environment string) (*Leader, error) {
-	entry, err := store.Get(ctx, Options{Environment: environment}.prefix()+leaderName)
+	entry, err := store.Get(ctx, Options{Environment: environment}.prefix()+leaderKeyName)
 	if err != nil {
 		return nil, err
 	}
@@ -167,9 +176,9 @@
 	return leader, nil
 }
 
-// leaderName is the leader key's name below the prefix.
-const leaderName = "leader"
+// leaderKeyName is the name of the leader key below the prefix.
+const leaderKeyName = "leader"
 
 func (p *Planner) leaderKey() string {
-	return p.options.prefix() + leaderName
+	return p.options.prefix() + leaderKeyName
 }
--- a/internal/planner/faults_test.go
+++ b/internal/planner/faults_test.go
@@ -20,110 +20,112 @@
 	"github.com/chestnutarch/chestnutarch/internal/standin"
 )
 
-// gate is a store whose calls wait while it is shut, as those of a paused
-// process do.
-type gate struct {
+// pausableStore is a store whose writes and lease renewals wait while its lock
+// is held, like those of a paused process.
+type pausableStore struct {
 	kv.Store
 	lock sync.RWMutex
 }
 
-func (g *gate) pass() {
+func (g *pausableStore) waitWhilePaused() {
 	g.lock.RLock()
 	defer g.lock.RUnlock()
 }
 
-func (g *gate) CompareAndSwap(ctx context.Context, key string, expected int64, value []byte, lease kv.LeaseID) (kv.Result, error) {
-	g.pass()
+func (g *pausableStore) CompareAndSwap(ctx context.Context, key string, expected int64, value []byte, lease kv.LeaseID) (kv.Result, error) {
+	g.waitWhilePaused()
 	return g.Store.CompareAndSwap(context.WithoutCancel(ctx), key, expected, value, lease)
 }
 
-func (g *gate) KeepAlive(ctx context.Context, lease kv.LeaseID) error {
-	g.pass()
+func (g *pausableStore) KeepAlive(ctx context.Context, lease kv.LeaseID) error {
+	g.waitWhilePaused()
 	return g.Store.KeepAlive(ctx, lease)
 }
 
 // A leader is paused in the middle of its work, by its VM or by a full disk of
-// the host, and wakes when another one leads. If it then went on, both would
-// load into the same memory and engines would fail what they run.
+// the host, and resumes after another planner has become leader. If it
+// continued to send orders, both would load into the same memory and engines
+// would fail what they are running.
 func TestLeaderThatWakesAfterItsLeaseDoesNoHarm(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 4, 4, 3)
-	memory := s.store
-	shut := &gate{Store: memory}
-	s.store = shut
-	first, _ := s.start("vm1")
-	require.Eventually(t, func() bool { return s.loads() > 2 }, patience, time.Millisecond)
-	shut.lock.Lock()
-	s.store = memory
-	second, _ := s.start("vm2")
+	s := newTestFleet(t, 4, 4, 3)
+	memoryStore := s.store
+	pausable := &pausableStore{Store: memoryStore}
+	s.store = pausable
+	first, _ := s.startPlanner("vm1")
+	require.Eventually(t, func() bool { return s.loadCount() > 2 }, waitTimeout, time.Millisecond)
+	pausable.lock.Lock()
+	s.store = memoryStore
+	second, _ := s.startPlanner("vm2")
 	require.Eventually(t, func() bool {
 		status, err := second.Status()
 		return err == nil && status.InControl
-	}, patience, 10*time.Millisecond)
-	shut.lock.Unlock()
+	}, waitTimeout, 10*time.Millisecond)
+	pausable.lock.Unlock()
 	s.awaitTwoDomains(16)
-	require.Eventually(t, func() bool { _, err := first.Status(); return err != nil }, patience, 10*time.Millisecond)
-	s.requireNoHarm()
+	require.Eventually(t, func() bool { _, err := first.Status(); return err != nil }, waitTimeout, 10*time.Millisecond)
+	s.requireNoViolations()
 }
 
-func (s *site) loads() int {
+func (s *testFleet) loadCount() int {
 	return s.weights.Records().(standin.WeightStoreRecords).Loads
 }
 
-// The key-value service takes writes but its answers are lost, then it is down.
-// A planner that took a lost answer for a refusal would forget what it allowed.
-func TestLostAnswersAndAnOutageStopChangesAndHarmNothing(t *testing.T) {
+// The key-value service applies writes but loses its responses, and then has an
+// outage. A planner that treated a lost response as a refused write would no
+// longer account for a load that it had recorded.
+func TestLostResponsesAndAnOutageStopLoadsWithoutViolations(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 4, 4, 3)
-	memory := s.store.(*kvtest.Memory)
-	memory.Change(func(f *kvtest.Faults) { f.LoseAnswers = 12 })
-	p, _ := s.start("vm1")
-	require.Eventually(t, func() bool { return s.loads() > 4 }, patience, time.Millisecond)
-	memory.Change(func(f *kvtest.Faults) { f.Outage = true })
-	require.Eventually(t, func() bool { _, err := p.Status(); return err != nil }, patience, 10*time.Millisecond)
-	before := s.loads()
+	s := newTestFleet(t, 4, 4, 3)
+	memoryStore := s.store.(*kvtest.Memory)
+	memoryStore.Change(func(f *kvtest.Faults) { f.LoseAnswers = 12 })
+	p, _ := s.startPlanner("vm1")
+	require.Eventually(t, func() bool { return s.loadCount() > 4 }, waitTimeout, time.Millisecond)
+	memoryStore.Change(func(f *kvtest.Faults) { f.Outage = true })
+	require.Eventually(t, func() bool { _, err := p.Status(); return err != nil }, waitTimeout, 10*time.Millisecond)
+	before := s.loadCount()
 	ready := len(s.readyDomains())
 	time.Sleep(time.Second)
-	require.Equal(t, before, s.loads(), "no load without the service")
+	require.Equal(t, before, s.loadCount(), "a load started while the key-value service was down")
 	require.GreaterOrEqual(t, len(s.readyDomains()), ready)
-	memory.Change(func(f *kvtest.Faults) { f.Outage = false; f.LoseAnswers = 5 })
+	memoryStore.Change(func(f *kvtest.Faults) { f.Outage = false; f.LoseAnswers = 5 })
 	s.awaitTwoDomains(16)
-	s.requireNoHarm()
+	s.requireNoViolations()
 }
 
-// Operators drain an engine to replace it. Its copies must be ready elsewhere
-// before it is taken away, or callers of a model are refused.
-func TestDrainingEngineIsReplacedElsewhere(t *testing.T) {
+// Operators drain engines to replace them. Their copies must be ready elsewhere
+// before they are taken away; otherwise requests for a model are refused.
+func TestCopiesOnDrainingEnginesAreReplacedElsewhere(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 6, 3, 1)
-	s.start("vm1")
+	s := newTestFleet(t, 6, 3, 1)
+	s.startPlanner("vm1")
 	s.awaitTwoDomains(6)
-	s.kinds[0].SetFaults(&standin.EngineFaults{Draining: true})
-	s.kinds[1].SetFaults(&standin.EngineFaults{Draining: true})
+	s.standins[0].SetFaults(&standin.EngineFaults{Draining: true})
+	s.standins[1].SetFaults(&standin.EngineFaults{Draining: true})
 	require.Eventually(t, func() bool {
-		counts := s.readyDomainsBut(0, 1)
+		counts := s.readyDomainsExcept(0, 1)
 		for _, domains := range counts {
 			if len(domains) < 2 {
 				return false
 			}
 		}
 		return len(counts) == 6
-	}, patience, 20*time.Millisecond)
-	s.requireNoHarm()
+	}, waitTimeout, 20*time.Millisecond)
+	s.requireNoViolations()
 }
 
-// A model is replaced by a new version while engines restart. The old one has
-// to serve until the new one is ready in two failure domains.
-func TestVersionIsReplacedBesideTheOldOneWhileEnginesRestart(t *testing.T) {
+// A model is replaced by a new version while an engine restarts. The old
+// version has to serve until the new one is ready in two failure domains.
+func TestOldVersionServesUntilTheNewOneIsReadyWhileAnEngineRestarts(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 6, 3, 1)
-	s.start("vm1")
+	s := newTestFleet(t, 6, 3, 1)
+	s.startPlanner("vm1")
 	s.awaitTwoDomains(6)
 	next := *s.doc
 	next.Models = append([]document.Model(nil), s.doc.Models...)
 	next.Models[0].Version = "v2"
-	s.put(&next)
-	s.engines[2].Inject(standin.ServerFaults{Restart: true})
+	s.setDocument(&next)
+	s.servers[2].Inject(standin.ServerFaults{Restart: true})
 	missing := 0
 	require.Eventually(t, func() bool {
 		ready := s.readyDomains()
@@ -131,21 +133,22 @@
 			missing++
 		}
 		return len(ready["m0/@v2"]) == 2 && len(ready["m0/@v1"]) == 0 && len(ready["m0/m0-a0@v1"]) == 2
-	}, patience, 5*time.Millisecond)
+	}, waitTimeout, 5*time.Millisecond)
 	require.Zero(t, missing)
-	s.requireNoHarm()
+	s.requireNoViolations()
 }
 
-// A flash crowd asks for one model. Without a report of that, its copies would
-// stay as many as everyone else's and the crowd would wait.
-func TestDemandReportsBringCopies(t *testing.T) {
+// A flash crowd requests one model. Without demand reports that model would
+// keep as many copies as every other model, and the crowd's requests would
+// wait.
+func TestDemandReportsAddCopies(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 6, 3, 1)
-	p, _ := s.start("vm1")
+	s := newTestFleet(t, 6, 3, 1)
+	p, _ := s.startPlanner("vm1")
 	s.awaitTwoDomains(6)
 	server := httptest.NewServer(p.Handler())
 	defer server.Close()
-	r := NewReporter(ReporterOptions{VM: "vm1", Environment: "trial", Store: s.store, Client: server.Client(), Every: 50 * time.Millisecond})
+	r := NewReporter(ReporterOptions{VM: "vm1", Environment: "trial", Store: s.store, Client: server.Client(), Interval: 50 * time.Millisecond})
 	r.leader = server.URL
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -163,14 +166,14 @@
 			}
 		}
 		return copies == 6
-	}, patience, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 	cancel()
 	require.NoError(t, <-done)
 }
 
-func TestDemandReportIsRefusedWhereNobodyLeads(t *testing.T) {
+func TestDemandReportIsRefusedByAPlannerThatDoesNotLead(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 2, 1, 0)
+	s := newTestFleet(t, 2, 1, 0)
 	p, err := New(Options{Environment: "trial", VM: "vm1", Store: s.store, Config: s.snapshot.Load})
 	require.NoError(t, err)
 	w := httptest.NewRecorder()
--- a/internal/planner/leadership.go
+++ b/internal/planner/leadership.go
@@ -17,48 +17,51 @@
 	"github.com/chestnutarch/chestnutarch/internal/placement"
 )
 
-// Bounds on what is under way at once.
+// Bounds on concurrent work and on how often it is done.
 const (
-	maxStoreCalls  = 16
-	maxEngineCalls = 64
-	eventBuffer    = 256
-	// stepGap is the shortest time between two decisions, so that a burst of
-	// answers from many engines costs one decision. A decision looks at every
-	// engine, so in a large fleet the gap is stepGapPerEngine for each.
-	stepGap          = 10 * time.Millisecond
-	stepGapPerEngine = 250 * time.Microsecond
-	// planShare bounds the share of time that planning takes: after a plan it
-	// pauses for as many times the plan's own time.
-	planShare = 100
-	// failurePause delays the result of a failed call to the key-value
-	// service, which bounds how often an outage is probed.
-	failurePause = 250 * time.Millisecond
+	maxStoreCalls    = 16
+	maxEngineCalls   = 64
+	completionBuffer = 256
+	// minStepInterval is the shortest time between two decisions, so that a
+	// burst of responses from many engines causes one decision. A decision
+	// examines every engine, so in a large fleet the time is
+	// minStepIntervalPerEngine for each engine.
+	minStepInterval          = 10 * time.Millisecond
+	minStepIntervalPerEngine = 250 * time.Microsecond
+	// planPauseFactor bounds the share of time spent on planning: the next plan
+	// starts no sooner than this many times the duration of the last plan after
+	// its start.
+	planPauseFactor = 100
+	// storeFailureDelay delays the result of a failed call to the key-value
+	// service, which bounds how often the service is called during an outage.
+	storeFailureDelay = 250 * time.Millisecond
 )
 
 // leadership is the state of one term. Its run method owns it; the calls that
-// it starts hand their results back through events.
+// it starts return their results through completions.
 type leadership struct {
-	planner *Planner
-	term    *term
-	log     zerolog.Logger
-	book    *order.Book
-	events  chan func()
-	calls   *errgroup.Group
-	// slots bounds the calls to each side, so that engines that do not answer
-	// keep no call to the key-value service waiting.
+	planner     *Planner
+	term        *term
+	log         zerolog.Logger
+	book        *order.Book
+	completions chan func()
+	calls       *errgroup.Group
+	// The slots bound the concurrent calls to the key-value service and to the
+	// engines separately, so that engines that do not respond delay no call to
+	// the service.
 	storeSlots  chan struct{}
 	engineSlots chan struct{}
-	urls        map[string]string
-
-	snapshot *configstate.Snapshot
-	planned  time.Time
-	// planTook is how long the last plan took.
-	planTook time.Duration
-	plan     placement.Plan
-	demand   *demand.Estimator
-	rates    map[placement.Name]float64
-	renewing bool
-	lost     error
+	engineURLs  map[string]string
+
+	snapshot  *configstate.Snapshot
+	plannedAt time.Time
+	// planDuration is how long the last plan took.
+	planDuration time.Duration
+	plan         placement.Plan
+	estimator    *demand.Estimator
+	demandRates  map[placement.Name]float64
+	renewing     bool
+	lostErr      error
 }
 
 func newLeadership(p *Planner, t *term, log zerolog.Logger) *leadership {
@@ -66,19 +69,19 @@
 	o.Prefix = p.options.prefix()
 	o.Fence = t.fence
 	return &leadership{
-		planner: p,
-		term:    t,
-		log:     log,
-		book:    order.NewBook(o),
-		events:  make(chan func(), eventBuffer),
-		demand:  demand.NewEstimator(p.options.Demand),
+		planner:     p,
+		term:        t,
+		log:         log,
+		book:        order.NewBook(o),
+		completions: make(chan func(), completionBuffer),
+		estimator:   demand.NewEstimator(p.options.Demand),
 
 		storeSlots:  make(chan struct{}, maxStoreCalls),
 		engineSlots: make(chan struct{}, maxEngineCalls),
 	}
 }
 
-// run works until the term or ctx ends and returns why.
+// run works until the term or ctx ends and returns the reason.
 func (l *leadership) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	calls, ctx := errgroup.WithContext(ctx)
@@ -87,32 +90,32 @@
 		cancel()
 		_ = calls.Wait()
 	}()
-	ticker := time.NewTicker(l.planner.options.StepEvery)
+	ticker := time.NewTicker(l.planner.options.StepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case event := <-l.events:
-			event()
-			l.drain()
+		case complete := <-l.completions:
+			complete()
+			l.runQueuedCompletions()
 		case <-ticker.C:
 		}
 		if err := l.step(ctx); err != nil {
 			return err
 		}
-		if !pause(ctx, max(stepGap, time.Duration(len(l.urls))*stepGapPerEngine)) {
+		if !sleep(ctx, max(minStepInterval, time.Duration(len(l.engineURLs))*minStepIntervalPerEngine)) {
 			return ctx.Err()
 		}
 	}
 }
 
-// drain takes in every event that waits.
-func (l *leadership) drain() {
+// runQueuedCompletions runs every completion that is queued.
+func (l *leadership) runQueuedCompletions() {
 	for {
 		select {
-		case event := <-l.events:
-			event()
+		case complete := <-l.completions:
+			complete()
 		default:
 			return
 		}
@@ -122,66 +125,67 @@
 func (l *leadership) step(ctx context.Context) error {
 	now := l.planner.options.Clock()
 	switch {
-	case l.lost != nil:
-		return l.lost
+	case l.lostErr != nil:
+		return l.lostErr
 	case l.book.Deposed():
-		return errors.Wrap(errDeposed, "a later leader has taken over")
+		return errors.Wrap(errLeadershipLost, "a later leader has taken over")
 	case !l.term.valid(now, l.planner.options.LeaseTTL):
-		return errors.Wrap(errDeposed, "the lease was not renewed in time")
+		return errors.Wrap(errLeadershipLost, "the lease was not renewed within its TTL less the safety margin")
 	}
-	l.keepLease(ctx, now)
-	l.replan(now)
+	l.renewLeaseIfDue(ctx, now)
+	l.replanIfDue(now)
 	for _, action := range l.book.Next(now.Wall) {
-		l.carryOut(ctx, action)
+		l.execute(ctx, action)
 	}
 	return nil
 }
 
-// keepLease renews the lease when a third of it has gone.
-func (l *leadership) keepLease(ctx context.Context, now clock.Reading) {
+// renewLeaseIfDue renews the lease once a third of it has elapsed.
+func (l *leadership) renewLeaseIfDue(ctx context.Context, now clock.Reading) {
 	const renewals = 3
-	due := clock.Elapsed(l.term.renewed, now) >= l.planner.options.LeaseTTL/renewals
+	due := clock.Elapsed(l.term.renewedAt, now) >= l.planner.options.LeaseTTL/renewals
 	if l.renewing || !due {
 		return
 	}
 	l.renewing = true
-	l.call(ctx, l.storeSlots, func() func() {
-		sent, err := l.planner.renew(ctx, l.term.lease)
+	l.startCall(ctx, l.storeSlots, func() func() {
+		sent, err := l.planner.renewLease(ctx, l.term.lease)
 		if err != nil {
-			pause(ctx, failurePause)
+			sleep(ctx, storeFailureDelay)
 		}
-		return func() { l.renewed(sent, err) }
+		return func() { l.leaseRenewed(sent, err) }
 	})
 }
 
-func (l *leadership) renewed(sent clock.Reading, err error) {
+func (l *leadership) leaseRenewed(sent clock.Reading, err error) {
 	l.renewing = false
 	switch {
 	case err == nil:
-		l.term.renewed = sent
+		l.term.renewedAt = sent
 	case errors.Is(err, kv.ErrLeaseGone):
-		l.lost = errors.Wrap(errDeposed, "the lease is gone")
+		l.lostErr = errors.Wrap(errLeadershipLost, "the key-value service no longer has the lease")
 	}
 }
 
-// replan makes a new plan when it is time or the document has changed.
-func (l *leadership) replan(now clock.Reading) {
+// replanIfDue makes a new plan if the plan interval has elapsed or the document
+// has changed.
+func (l *leadership) replanIfDue(now clock.Reading) {
 	snapshot := l.planner.options.Config()
 	changed := snapshot != l.snapshot
-	every := max(l.planner.options.PlanEvery, planShare*l.planTook)
-	if !changed && now.Wall.Sub(l.planned) < every {
+	interval := max(l.planner.options.PlanInterval, planPauseFactor*l.planDuration)
+	if !changed && now.Wall.Sub(l.plannedAt) < interval {
 		return
 	}
-	l.planned = now.Wall
-	l.hearDemand(now.Wall)
-	l.rates = l.demand.Rates(now.Wall)
+	l.plannedAt = now.Wall
+	l.receiveDemandReports(now.Wall)
+	l.demandRates = l.estimator.Rates(now.Wall)
 	l.snapshot = snapshot
 	goal := goalOf(snapshot.Document)
-	l.urls = urlsOf(snapshot.Document)
+	l.engineURLs = urlsOf(snapshot.Document)
 	if changed {
 		store := snapshot.Document.WeightStore
 		l.book.SetBudget(store.LoadsPerSecond, store.ConcurrentLoads)
-		// The engines must be known before they can be looked at.
+		// The book must know the engines before it can poll them.
 		goal.Assignments = l.plan.Assignments
 		l.book.SetGoal(goal)
 	}
@@ -190,16 +194,16 @@
 		l.plan = placement.Make(placement.Input{
 			Models:  snapshot.Document.Models,
 			Engines: view,
-			Demand:  l.rates,
+			Demand:  l.demandRates,
 			Quiet:   l.book.Quiet(now.Wall),
 			Options: l.planner.options.Placement,
 		})
 		goal.SetPlan(l.plan, view)
 		l.book.SetGoal(goal)
 	}
-	l.publish(now)
-	l.planTook = clock.Elapsed(now, l.planner.options.Clock())
-	l.planner.planTimer.Update(l.planTook)
+	l.publishStatus(now)
+	l.planDuration = clock.Elapsed(now, l.planner.options.Clock())
+	l.planner.planTimer.Update(l.planDuration)
 }
 
 func urlsOf(doc *document.Document) map[string]string {
--- a/internal/planner/options.go
+++ b/internal/planner/options.go
@@ -23,35 +23,38 @@
 type Options struct {
 	// Environment names the environment, for example "gt-production".
 	Environment string
-	// VM is this VM's name. It is written to the leader key for operators.
+	// VM is this VM's name. It is written to the leader key, where operators
+	// can read it.
 	VM string
-	// URL is where this planner's Handler is served, "http://IP:port". It is
-	// written to the leader key, so that entry VMs find the leader.
+	// URL is the address at which this planner's Handler is served,
+	// "http://IP:port". It is written to the leader key, so that entry VMs find
+	// the leader.
 	URL string
 	// Store is the key-value service.
 	Store kv.Store
-	// Config returns the configuration in force, or nil while none is known.
+	// Config returns the configuration in force, or nil while there is none.
 	Config func() *configstate.Snapshot
 	// Clock reads both clocks. The default is clock.System.
 	Clock clock.Func
-	// LeaseTTL is how long leadership outlasts a leader that died. The default
-	// is 10s.
+	// LeaseTTL is how long the lease outlasts a leader that has died. The
+	// default is 10s.
 	LeaseTTL time.Duration
-	// StepEvery is the longest time between two decisions. The default is 100ms.
-	StepEvery time.Duration
-	// PlanEvery is the time between two plans. The default is 1s.
-	PlanEvery time.Duration
-	// OrderTimeout bounds one exchange with an engine. The default is 2s.
+	// StepInterval is the longest time between two decisions. The default is
+	// 100ms.
+	StepInterval time.Duration
+	// PlanInterval is the time between two plans. The default is 1s.
+	PlanInterval time.Duration
+	// OrderTimeout bounds one call to an engine. The default is 2s.
 	OrderTimeout time.Duration
-	// TLS is used for engines with an https address. Nil takes the machine's
-	// authorities.
+	// TLS is used for engines with an https address. Nil uses the certificate
+	// authorities of the machine.
 	TLS transport.TLS
-	// Placement tunes the policy.
+	// Placement configures the placement policy.
 	Placement placement.Options
-	// Demand tunes the estimate of what callers ask for.
+	// Demand configures the estimate of the offered load.
 	Demand demand.Options
-	// Order tunes the sending of orders. Its Prefix, Fence and budget are set
-	// by the planner.
+	// Order configures how orders are sent. Its Prefix, Fence and budget are
+	// set by the planner.
 	Order order.Options
 	// Log receives one event per order, change of leadership and fault.
 	Log zerolog.Logger
@@ -63,40 +66,41 @@
 // Defaults of Options.
 const (
 	DefaultLeaseTTL     = 10 * time.Second
-	DefaultStepEvery    = 100 * time.Millisecond
-	DefaultPlanEvery    = time.Second
+	DefaultStepInterval = 100 * time.Millisecond
+	DefaultPlanInterval = time.Second
 	DefaultOrderTimeout = 2 * time.Second
 )
 
-// Validate checks what has no default. Errors wrap ErrOptions.
+// Validate checks the options that have no default, and that no duration is
+// negative. Errors wrap ErrOptions.
 func (o Options) Validate() error {
 	switch {
 	case o.Environment == "":
-		return errors.Wrap(ErrOptions, "no environment")
+		return errors.Wrap(ErrOptions, "Environment is not set")
 	case o.VM == "":
-		return errors.Wrap(ErrOptions, "no VM name")
+		return errors.Wrap(ErrOptions, "VM is not set")
 	case o.Store == nil:
-		return errors.Wrap(ErrOptions, "no key-value service")
+		return errors.Wrap(ErrOptions, "Store is not set")
 	case o.Config == nil:
-		return errors.Wrap(ErrOptions, "no configuration")
-	case o.LeaseTTL < 0 || o.StepEvery < 0 || o.PlanEvery < 0 || o.OrderTimeout < 0:
-		return errors.Wrap(ErrOptions, "negative duration")
+		return errors.Wrap(ErrOptions, "Config is not set")
+	case o.LeaseTTL < 0 || o.StepInterval < 0 || o.PlanInterval < 0 || o.OrderTimeout < 0:
+		return errors.Wrap(ErrOptions, "LeaseTTL, StepInterval, PlanInterval and OrderTimeout must not be negative")
 	}
 	return nil
 }
 
-func (o *Options) provision() {
+func (o *Options) applyDefaults() {
 	if o.Clock == nil {
 		o.Clock = clock.System()
 	}
 	if o.LeaseTTL == 0 {
 		o.LeaseTTL = DefaultLeaseTTL
 	}
-	if o.StepEvery == 0 {
-		o.StepEvery = DefaultStepEvery
+	if o.StepInterval == 0 {
+		o.StepInterval = DefaultStepInterval
 	}
-	if o.PlanEvery == 0 {
-		o.PlanEvery = DefaultPlanEvery
+	if o.PlanInterval == 0 {
+		o.PlanInterval = DefaultPlanInterval
 	}
 	if o.OrderTimeout == 0 {
 		o.OrderTimeout = DefaultOrderTimeout
@@ -106,7 +110,7 @@
 	}
 }
 
-// prefix is the start of the planner's keys.
+// prefix returns the prefix of the planner's keys.
 func (o Options) prefix() string {
 	return "/chestnut/" + o.Environment + "/planner/"
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -13,16 +13,17 @@
 	"github.com/chestnutarch/chestnutarch/internal/telemetry"
 )
 
-// Planner is one of the planners of an environment. One at a time leads.
+// Planner is one of the planners of an environment, of which one leads at a
+// time.
 type Planner struct {
-	options   Options
-	orders    engine.OrderClient
-	reports   *engine.Client
-	leader    atomic.Pointer[Leader]
-	status    atomic.Pointer[Status]
-	planTimer metrics.Timer
-	// demand carries the entry VMs' reports to the leader's goroutine.
-	demand chan demand.Report
+	options     Options
+	orderClient engine.OrderClient
+	loadClient  *engine.Client
+	leader      atomic.Pointer[Leader]
+	status      atomic.Pointer[Status]
+	planTimer   metrics.Timer
+	// demandReports carries the entry VMs' reports to the leader's goroutine.
+	demandReports chan demand.Report
 }
 
 // New returns a planner. Errors wrap ErrOptions.
@@ -30,28 +31,29 @@
 	if err := o.Validate(); err != nil {
 		return nil, err
 	}
-	o.provision()
+	o.applyDefaults()
 	return &Planner{
-		options:   o,
-		planTimer: telemetry.NewTimer(o.Metrics, "planner.plan"),
-		demand:    make(chan demand.Report, reportBuffer),
-		orders:    engine.OrderClient{Timeout: o.OrderTimeout, TLS: o.TLS},
-		reports:   engine.NewClient(engine.ClientOptions{CallTimeout: o.OrderTimeout, TLS: o.TLS}),
+		options:       o,
+		planTimer:     telemetry.NewTimer(o.Metrics, "planner.plan"),
+		demandReports: make(chan demand.Report, maxQueuedReports),
+		orderClient:   engine.OrderClient{Timeout: o.OrderTimeout, TLS: o.TLS},
+		loadClient:    engine.NewClient(engine.ClientOptions{CallTimeout: o.OrderTimeout, TLS: o.TLS}),
 	}, nil
 }
 
-// retryPause is the wait after a failed attempt to become leader.
-const retryPause = 500 * time.Millisecond
+// campaignRetryDelay is the delay after a failed attempt to become leader.
+const campaignRetryDelay = 500 * time.Millisecond
 
-// configPoll is the wait for a configuration.
-const configPoll = 100 * time.Millisecond
+// configPollInterval is the time between two checks for a first configuration.
+const configPollInterval = 100 * time.Millisecond
 
-// Run plans until ctx ends, and returns nil then. A leader that is stopped
-// hands over at once.
+// Run competes for leadership, and plans while it leads, until ctx ends. It
+// then returns nil. A leader that is stopped revokes its lease, so that another
+// planner can take over immediately.
 func (p *Planner) Run(ctx context.Context) error {
-	defer p.reports.Close()
+	defer p.loadClient.Close()
 	for p.options.Config() == nil {
-		if !pause(ctx, configPoll) {
+		if !sleep(ctx, configPollInterval) {
 			return nil
 		}
 	}
@@ -59,18 +61,18 @@
 		term, err := p.campaign(ctx)
 		switch {
 		case err == nil:
-			p.lead(ctx, term)
+			p.runTerm(ctx, term)
 		case errors.Is(err, errNotElected):
-			p.awaitVacancy(ctx)
+			p.awaitFreeLeaderKey(ctx)
 		default:
-			pause(ctx, retryPause)
+			sleep(ctx, campaignRetryDelay)
 		}
 	}
 	return nil
 }
 
-// lead works as leader until the term or ctx ends.
-func (p *Planner) lead(ctx context.Context, t *term) {
+// runTerm works as leader until the term or ctx ends.
+func (p *Planner) runTerm(ctx context.Context, t *term) {
 	p.leader.Store(&Leader{VM: p.options.VM, URL: p.options.URL})
 	log := p.options.Log.With().Int64("fence", t.fence).Logger()
 	log.Info().Str("vm", p.options.VM).Msg("leads")
@@ -80,11 +82,11 @@
 	p.status.Store(nil)
 	metrics.GetOrRegisterGauge("planner.leads", p.options.Metrics).Update(0)
 	log.Info().Err(err).Msg("no longer leads")
-	p.revoke(ctx, t.lease)
+	p.revokeLease(ctx, t.lease)
 }
 
-// pause waits. It returns false if ctx ended first.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d. It returns false if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -18,24 +18,24 @@
 	"github.com/chestnutarch/chestnutarch/internal/standin"
 )
 
-// patience bounds a wait for something that must come; nothing is asserted
-// about how long it took.
-const patience = 30 * time.Second
+// waitTimeout bounds a wait for something that must happen; nothing is asserted
+// about how long it takes.
+const waitTimeout = 30 * time.Second
 
-// site is a fleet of stand-in engines with a key-value service in memory.
-type site struct {
-	t       *testing.T
-	store   kv.Store
-	doc     *document.Document
-	engines []*standin.Server
-	kinds   []*standin.Engine
-	weights *standin.WeightStore
+// testFleet is a fleet of stand-in engines with a key-value service in memory.
+type testFleet struct {
+	t        *testing.T
+	store    kv.Store
+	doc      *document.Document
+	servers  []*standin.Server
+	standins []*standin.Engine
+	weights  *standin.WeightStore
 	// snapshot is the configuration in force.
 	snapshot atomic.Pointer[configstate.Snapshot]
 }
 
-// put puts a document in force.
-func (s *site) put(doc *document.Document) {
+// setDocument puts a document in force as the next version.
+func (s *testFleet) setDocument(doc *document.Document) {
 	version := int64(1)
 	if now := s.snapshot.Load(); now != nil {
 		version = now.Version + 1
@@ -43,8 +43,8 @@
 	s.snapshot.Store(configstate.NewSnapshot(version, "change", "digest", doc, nil))
 }
 
-func newSite(t *testing.T, engines, models, adapters int) *site {
-	s := &site{t: t, store: kvtest.NewMemory(time.Now)}
+func newTestFleet(t *testing.T, engines, models, adapters int) *testFleet {
+	s := &testFleet{t: t, store: kvtest.NewMemory(time.Now)}
 	s.doc = &document.Document{
 		Environment:    "trial",
 		FailureDomains: []string{"a", "b"},
@@ -65,13 +65,13 @@
 		}
 		s.doc.Models = append(s.doc.Models, model)
 	}
-	s.put(s.doc)
+	s.setDocument(s.doc)
 	return s
 }
 
-func (s *site) addEngine(name, domain string) {
+func (s *testFleet) addEngine(name, domain string) {
 	fencing := document.FencingIgnored
-	if len(s.kinds)%2 == 0 {
+	if len(s.standins)%2 == 0 {
 		fencing = document.FencingEnforced
 	}
 	e := standin.NewEngine(standin.EngineOptions{
@@ -80,17 +80,17 @@
 	server, err := standin.Start("127.0.0.1:0", e)
 	require.NoError(s.t, err)
 	s.t.Cleanup(server.Close)
-	s.engines = append(s.engines, server)
-	s.kinds = append(s.kinds, e)
+	s.servers = append(s.servers, server)
+	s.standins = append(s.standins, e)
 	s.doc.Engines = append(s.doc.Engines, document.Engine{
 		Name: name, URL: server.URL(), FailureDomain: domain, Memory: 40 * document.GiB,
 		KVCacheReserve: 8 * document.GiB, Fencing: fencing,
 	})
 }
 
-func (s *site) start(vm string) (*Planner, func()) {
+func (s *testFleet) startPlanner(vm string) (*Planner, func()) {
 	p, err := New(Options{
-		Environment: "trial", VM: vm, Store: s.store, LeaseTTL: 2 * time.Second, PlanEvery: 100 * time.Millisecond,
+		Environment: "trial", VM: vm, Store: s.store, LeaseTTL: 2 * time.Second, PlanInterval: 100 * time.Millisecond,
 		Config: s.snapshot.Load,
 	})
 	require.NoError(s.t, err)
@@ -109,15 +109,16 @@
 	return p, stop
 }
 
-// readyDomains counts the failure domains with a ready copy by what the engines
-// themselves hold.
-func (s *site) readyDomains() map[string]map[string]struct{} { return s.readyDomainsBut() }
+// readyDomains returns the failure domains with a ready copy of each item, as
+// the engines themselves report it.
+func (s *testFleet) readyDomains() map[string]map[string]struct{} { return s.readyDomainsExcept() }
 
-// readyDomainsBut leaves out some engines.
-func (s *site) readyDomainsBut(but ...int) map[string]map[string]struct{} {
+// readyDomainsExcept is like readyDomains without the engines with the given
+// indexes.
+func (s *testFleet) readyDomainsExcept(excluded ...int) map[string]map[string]struct{} {
 	out := make(map[string]map[string]struct{})
 	for i, e := range s.doc.Engines {
-		if slices.Contains(but, i) {
+		if slices.Contains(excluded, i) {
 			continue
 		}
 		load, err := (&engine.OrderClient{}).Report(s.t.Context(), e.URL)
@@ -138,7 +139,7 @@
 	return out
 }
 
-func (s *site) awaitTwoDomains(items int) {
+func (s *testFleet) awaitTwoDomains(items int) {
 	require.Eventually(s.t, func() bool {
 		ready := s.readyDomains()
 		for _, domains := range ready {
@@ -147,11 +148,11 @@
 			}
 		}
 		return len(ready) == items
-	}, patience, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 }
 
-func (s *site) requireNoHarm() {
-	for _, e := range s.kinds {
+func (s *testFleet) requireNoViolations() {
+	for _, e := range s.standins {
 		require.Empty(s.t, e.Records().(standin.EngineRecords).Overcommits)
 	}
 	records := s.weights.Records().(standin.WeightStoreRecords)
@@ -161,25 +162,25 @@
 
 func TestEveryItemBecomesReadyInTwoDomains(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 4, 4, 3)
-	s.start("vm1")
+	s := newTestFleet(t, 4, 4, 3)
+	s.startPlanner("vm1")
 	s.awaitTwoDomains(4 + 12)
-	s.requireNoHarm()
+	s.requireNoViolations()
 }
 
 // An operator stops the leading planner for an upgrade. If it kept its lease
-// until that lapsed, nothing would be loaded for that long; callers of a new
-// model would be refused meanwhile.
+// until the lease expired, nothing would be loaded during that time and
+// requests for a new model would be refused.
 func TestPlannedStopHandsOverAtOnce(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 2, 1, 0)
-	first, stop := s.start("vm1")
-	require.Eventually(t, func() bool { _, err := first.Status(); return err == nil }, patience, 10*time.Millisecond)
+	s := newTestFleet(t, 2, 1, 0)
+	first, stop := s.startPlanner("vm1")
+	require.Eventually(t, func() bool { _, err := first.Status(); return err == nil }, waitTimeout, 10*time.Millisecond)
 	stop()
 	_, err := s.store.Get(t.Context(), "/chestnut/trial/planner/leader")
 	require.ErrorIs(t, err, kv.ErrNotFound)
-	second, _ := s.start("vm2")
-	require.Eventually(t, func() bool { _, err := second.Status(); return err == nil }, patience, 10*time.Millisecond)
+	second, _ := s.startPlanner("vm2")
+	require.Eventually(t, func() bool { _, err := second.Status(); return err == nil }, waitTimeout, 10*time.Millisecond)
 	s.awaitTwoDomains(1)
-	s.requireNoHarm()
+	s.requireNoViolations()
 }
--- a/internal/planner/process.go
+++ b/internal/planner/process.go
@@ -20,17 +20,18 @@
 	"github.com/chestnutarch/chestnutarch/internal/telemetry"
 )
 
-// readHeaderTimeout bounds how long a client may take to ask.
+// readHeaderTimeout bounds how long a client may take to send its request
+// headers.
 const readHeaderTimeout = 5 * time.Second
 
-// Process is one chestnut-planner: a planner with its configuration and its
-// listeners.
+// Process is one chestnut-planner process: a planner with its configuration and
+// its listeners.
 type Process struct {
-	config    *configsync.Keeper
-	planner   *Planner
-	metrics   metrics.Registry
-	plan      net.Listener
-	telemetry net.Listener
+	config          *configsync.Keeper
+	planner         *Planner
+	metrics         metrics.Registry
+	peerListener    net.Listener
+	metricsListener net.Listener
 }
 
 // NewProcess builds the process and opens its listeners.
@@ -49,16 +50,16 @@
 	}
 	p.config = configsync.NewKeeper(configsync.Options{Store: store, Environment: s.Environment, Log: log, Metrics: p.metrics})
 	p.planner, err = New(Options{
-		Environment: s.Environment,
-		VM:          s.VM,
-		URL:         scheme(security) + p.plan.Addr().String(),
-		Store:       store,
-		Config:      p.config.Snapshot,
-		TLS:         process.ClientTLS(security.Upstreams),
-		LeaseTTL:    s.Lease,
-		PlanEvery:   s.Interval,
-		Log:         log,
-		Metrics:     p.metrics,
+		Environment:  s.Environment,
+		VM:           s.VM,
+		URL:          scheme(security) + p.peerListener.Addr().String(),
+		Store:        store,
+		Config:       p.config.Snapshot,
+		TLS:          process.ClientTLS(security.Upstreams),
+		LeaseTTL:     s.Lease,
+		PlanInterval: s.Interval,
+		Log:          log,
+		Metrics:      p.metrics,
 	})
 	return p, err
 }
@@ -70,43 +71,44 @@
 	return "http://"
 }
 
-// listen opens the listeners. The plan is for own processes only, so that with
-// TLS a client has to show a certificate.
+// listen opens the listeners. The peer listener is for the system's own
+// processes only, so with TLS it requires a client certificate.
 func (p *Process) listen(ctx context.Context, s *settings.Planner, security *process.Security) error {
 	var config net.ListenConfig
-	opened, err := config.Listen(ctx, "tcp", s.Listen.Peers)
+	listener, err := config.Listen(ctx, "tcp", s.Listen.Peers)
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	p.plan = opened
+	p.peerListener = listener
 	if security.PeerFiles != nil {
 		required := credentials.ServerOptions{RequireClientCertificate: true, NextProtos: []string{"http/1.1"}}
-		p.plan = tls.NewListener(opened, security.PeerFiles.Server(required))
+		p.peerListener = tls.NewListener(listener, security.PeerFiles.Server(required))
 	}
 	if s.Listen.Metrics == "" {
 		return nil
 	}
-	p.telemetry, err = config.Listen(ctx, "tcp", s.Listen.Metrics)
+	p.metricsListener, err = config.Listen(ctx, "tcp", s.Listen.Metrics)
 	return errors.WithStack(err)
 }
 
-// Run plans until ctx ends. A leader hands over at once.
+// Run runs the planner and its servers until ctx ends. A leader that is stopped
+// hands over immediately.
 func (p *Process) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return p.config.Run(ctx) })
 	group.Go(func() error { return p.planner.Run(ctx) })
-	serve(ctx, group, p.plan, p.planner.Handler())
-	if p.telemetry != nil {
-		serve(ctx, group, p.telemetry, telemetry.MetricsHandler(p.metrics))
+	serve(ctx, group, p.peerListener, p.planner.Handler())
+	if p.metricsListener != nil {
+		serve(ctx, group, p.metricsListener, telemetry.MetricsHandler(p.metrics))
 	}
 	return group.Wait()
 }
 
-// serve answers on a listener until ctx ends.
-func serve(ctx context.Context, group *errgroup.Group, on net.Listener, handler http.Handler) {
+// serve serves HTTP on a listener until ctx ends.
+func serve(ctx context.Context, group *errgroup.Group, listener net.Listener, handler http.Handler) {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	group.Go(func() error {
-		if err := server.Serve(on); !errors.Is(err, http.ErrServerClosed) {
+		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			return errors.WithStack(err)
 		}
 		return nil
--- a/internal/planner/status.go
+++ b/internal/planner/status.go
@@ -17,25 +17,26 @@
 // ErrNotLeader means that this planner does not lead.
 var ErrNotLeader = errors.New("planner: not the leader")
 
-// Status is what operators see of the planner: what is wanted and why, and
-// what is resident where.
+// Status is the planner's state as operators see it: what is planned and why,
+// and what is resident on which engine.
 type Status struct {
 	// Leader is the leading planner.
 	Leader Leader `json:"leader"`
-	// Fence is the leader's fencing number.
+	// Fence is the leader's fencing token.
 	Fence int64 `json:"fence"`
-	// Version is the configuration that the plan is for.
+	// Version is the version of the configuration that the plan is for.
 	Version int64 `json:"version"`
 	// Time is when the plan was made.
 	Time time.Time `json:"time"`
-	// InControl says whether the leader may send orders yet.
+	// InControl reports whether the leader may send orders yet.
 	InControl bool `json:"in_control"`
 	// Plan is what every engine should hold.
 	Plan placement.Plan `json:"plan"`
-	// Demand is the estimate behind the plan, the largest first, at most
-	// demand.MaxTop names.
+	// Demand is the demand estimate that the plan is based on, largest first,
+	// at most demand.MaxTop names.
 	Demand []NameDemand `json:"demand,omitempty"`
-	// Engines is what every engine could hold and holds.
+	// Engines lists for every engine the items that may be resident there and
+	// whether they are ready.
 	Engines []EngineStatus `json:"engines"`
 }
 
@@ -45,7 +46,7 @@
 	TokensPerSecond float64 `json:"tokens_per_second"`
 }
 
-// EngineStatus is one engine's part of a Status. Memory is in bytes.
+// EngineStatus is one engine's part of a Status. Memory sizes are in bytes.
 type EngineStatus struct {
 	Name          string     `json:"name"`
 	FailureDomain string     `json:"failure_domain"`
@@ -55,18 +56,19 @@
 	Holds         []HeldItem `json:"holds"`
 }
 
-// HeldItem is an item of an engine's allowed set.
+// HeldItem is an item of an engine's allowed set: the items that may be
+// resident there.
 type HeldItem struct {
 	placement.Item
 	Memory int64 `json:"memory"`
 	// Ready means that the copy serves requests.
 	Ready bool `json:"ready"`
-	// Leaving means that its unloading is under way.
+	// Leaving means that the copy is being unloaded.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Status returns what the leader works on. It returns ErrNotLeader at every
-// other planner; Leader then names the one to ask.
+// Status returns the state that the leader works on. It returns ErrNotLeader on
+// every other planner; Leader then names the planner to ask.
 func (p *Planner) Status() (*Status, error) {
 	s := p.status.Load()
 	if s == nil {
@@ -75,10 +77,10 @@
 	return s, nil
 }
 
-// Leader returns the leader as last known, or nil.
+// Leader returns the last known leader, or nil.
 func (p *Planner) Leader() *Leader { return p.leader.Load() }
 
-func (l *leadership) publish(now clock.Reading) {
+func (l *leadership) publishStatus(now clock.Reading) {
 	s := &Status{
 		Leader:    Leader{VM: l.planner.options.VM, URL: l.planner.options.URL},
 		Fence:     l.term.fence,
@@ -87,14 +89,14 @@
 		InControl: l.book.InControl(),
 		Plan:      l.plan,
 	}
-	s.Demand = largest(l.rates)
+	s.Demand = topDemand(l.demandRates)
 	for _, e := range l.book.View(now.Wall) {
 		s.Engines = append(s.Engines, engineStatus(e))
 	}
 	l.planner.status.Store(s)
 }
 
-func largest(rates map[placement.Name]float64) []NameDemand {
+func topDemand(rates map[placement.Name]float64) []NameDemand {
 	out := make([]NameDemand, 0, len(rates))
 	for name, rate := range rates {
 		out = append(out, NameDemand{Name: name, TokensPerSecond: rate})
@@ -119,9 +121,9 @@
 	return s
 }
 
-// Handler serves GET /v1/plan, the Status as JSON, and takes POST /v1/demand, an
-// entry VM's demand.Report. A planner that does not lead answers 421 with the
-// Leader to ask instead.
+// Handler serves GET /v1/plan, which returns the Status as JSON, and POST
+// /v1/demand, which accepts an entry VM's demand.Report. A planner that does
+// not lead responds with status 421 and the Leader to ask instead.
 func (p *Planner) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/plan", p.servePlan)
@@ -132,14 +134,14 @@
 func (p *Planner) servePlan(w http.ResponseWriter, _ *http.Request) {
 	status, err := p.Status()
 	if err != nil {
-		p.misdirected(w)
+		p.writeMisdirected(w)
 		return
 	}
 	p.writeJSON(w, http.StatusOK, status)
 }
 
-// misdirected names the leader, empty if it is not known.
-func (p *Planner) misdirected(w http.ResponseWriter) {
+// writeMisdirected responds with the leader, which is empty if it is not known.
+func (p *Planner) writeMisdirected(w http.ResponseWriter) {
 	leader := p.Leader()
 	if leader == nil {
 		leader = &Leader{}
@@ -151,6 +153,6 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	if err := json.NewEncoder(w).Encode(body); err != nil {
-		p.options.Log.Debug().Err(err).Msg("answer not written")
+		p.options.Log.Debug().Err(err).Msg("writing the HTTP response failed")
 	}
 }
