--- a/internal/demand/doc.go
+++ b/internal/demand/doc.go
@@ -1,4 +1,5 @@
-// Package demand estimates how much each model and adapter is asked for over
-// all entry VMs. It is pure: counts go in at an entry VM, bounded reports come
-// out; reports go in at the planner, and rates in tokens per second come out.
+// Package demand estimates the offered load of each model and adapter over all
+// entry VMs. It is pure: an entry VM's Counter turns counts into bounded
+// reports, and the planner's Estimator turns reports into rates in tokens per
+// second.
 package demand
--- a/internal/demand/estimate.go
+++ b/internal/demand/estimate.go
@@ -7,86 +7,90 @@
 	"github.com/chestnutarch/chestnutarch/internal/placement"
 )
 
-// Options tunes an Estimator. The zero value of a field selects its default.
+// Options configures an Estimator. The zero value of a field selects its
+// default.
 type Options struct {
-	// Rise is the time constant with which an estimate follows more demand.
-	// A flash crowd comes within a minute, so it is short: 5s.
+	// Rise is the time constant with which an estimate follows rising demand.
+	// It is short because a flash crowd arrives within a minute. The default is
+	// 5s.
 	Rise time.Duration
-	// Fall is the time constant with which an estimate follows less demand. A
-	// lull between two rushes should move nothing: 10m.
+	// Fall is the time constant with which an estimate follows falling demand.
+	// It is long so that a lull between two peaks moves no copies. The default
+	// is 10m.
 	Fall time.Duration
-	// Forget is how long a VM's last report counts. The default is 15s.
-	Forget time.Duration
+	// ReportTTL is how long a VM's last report counts. The default is 15s.
+	ReportTTL time.Duration
 }
 
 // Defaults of Options.
 const (
-	DefaultRise   = 5 * time.Second
-	DefaultFall   = 10 * time.Minute
-	DefaultForget = 15 * time.Second
+	DefaultRise      = 5 * time.Second
+	DefaultFall      = 10 * time.Minute
+	DefaultReportTTL = 15 * time.Second
 )
 
-// negligible is the rate in tokens per second below which a name is dropped.
-const negligible = 0.01
+// negligibleRate is the rate in tokens per second below which a name that is no
+// longer requested is dropped.
+const negligibleRate = 0.01
 
-// Estimator adds up the reports of all entry VMs and smooths them. It is not
+// Estimator sums the reports of all entry VMs and smooths the result. It is not
 // safe for concurrent use.
 type Estimator struct {
-	options Options
-	vms     map[string]heard
-	rates   map[placement.Name]float64
-	updated time.Time
+	options   Options
+	reports   map[string]vmReport
+	rates     map[placement.Name]float64
+	updatedAt time.Time
 }
 
-type heard struct {
-	at    time.Time
-	rates map[placement.Name]float64
-	rest  float64
+type vmReport struct {
+	receivedAt time.Time
+	rates      map[placement.Name]float64
+	restRate   float64
 }
 
-// NewEstimator returns an estimator without demand.
+// NewEstimator returns an estimator that has no reports.
 func NewEstimator(o Options) *Estimator {
 	for _, d := range []struct {
 		field    *time.Duration
 		fallback time.Duration
-	}{{&o.Rise, DefaultRise}, {&o.Fall, DefaultFall}, {&o.Forget, DefaultForget}} {
+	}{{&o.Rise, DefaultRise}, {&o.Fall, DefaultFall}, {&o.ReportTTL, DefaultReportTTL}} {
 		if *d.field <= 0 {
 			*d.field = d.fallback
 		}
 	}
-	return &Estimator{options: o, vms: make(map[string]heard), rates: make(map[placement.Name]float64)}
+	return &Estimator{options: o, reports: make(map[string]vmReport), rates: make(map[placement.Name]float64)}
 }
 
-// Hear takes in a report. A repeat or a late one replaces the VM's last, so it
-// is never counted twice.
-func (e *Estimator) Hear(r Report, now time.Time) {
+// Observe records a VM's report. A repeated or late report replaces the VM's
+// previous one, so no report is counted twice.
+func (e *Estimator) Observe(r Report, now time.Time) {
 	seconds := float64(max(1, r.WindowMS)) / 1000
-	h := heard{at: now, rates: make(map[placement.Name]float64, len(r.Top)), rest: float64(max(0, r.Rest)) / seconds}
+	report := vmReport{receivedAt: now, rates: make(map[placement.Name]float64, len(r.Top)), restRate: float64(max(0, r.Rest)) / seconds}
 	for i, count := range r.Top {
-		if i == MaxTop {
+		if i == MaxTopNames {
 			break
 		}
-		h.rates[count.Name] += float64(max(0, count.Tokens)) / seconds
+		report.rates[count.Name] += float64(max(0, count.Tokens)) / seconds
 	}
-	e.vms[r.VM] = h
+	e.reports[r.VM] = report
 }
 
 // Rates returns the estimate for every name with demand, in tokens per second.
 func (e *Estimator) Rates(now time.Time) map[placement.Name]float64 {
-	offered := e.offered(now)
-	elapsed := now.Sub(e.updated)
-	if e.updated.IsZero() {
+	offered := e.offeredRates(now)
+	elapsed := now.Sub(e.updatedAt)
+	if e.updatedAt.IsZero() {
 		elapsed = 0
 	}
-	e.updated = now
+	e.updatedAt = now
 	for name := range offered {
 		if _, known := e.rates[name]; !known {
 			e.rates[name] = 0
 		}
 	}
 	for name, rate := range e.rates {
-		next := e.follow(rate, offered[name], elapsed)
-		if next < negligible && offered[name] == 0 {
+		next := e.smooth(rate, offered[name], elapsed)
+		if next < negligibleRate && offered[name] == 0 {
 			delete(e.rates, name)
 			continue
 		}
@@ -99,39 +103,41 @@
 	return out
 }
 
-func (e *Estimator) follow(rate, offered float64, elapsed time.Duration) float64 {
-	constant := e.options.Fall
+func (e *Estimator) smooth(rate, offered float64, elapsed time.Duration) float64 {
+	timeConstant := e.options.Fall
 	if offered > rate {
-		constant = e.options.Rise
+		timeConstant = e.options.Rise
 	}
-	return rate + (offered-rate)*(1-math.Exp(-float64(elapsed)/float64(constant)))
+	return rate + (offered-rate)*(1-math.Exp(-float64(elapsed)/float64(timeConstant)))
 }
 
-// offered is what the VMs reported last, added up.
-func (e *Estimator) offered(now time.Time) map[placement.Name]float64 {
+// offeredRates returns the sum of the VMs' last reports and discards the
+// reports that have expired.
+func (e *Estimator) offeredRates(now time.Time) map[placement.Name]float64 {
 	sum := make(map[placement.Name]float64)
-	for vm, h := range e.vms {
-		if now.Sub(h.at) > e.options.Forget {
-			delete(e.vms, vm)
+	for vm, report := range e.reports {
+		if now.Sub(report.receivedAt) > e.options.ReportTTL {
+			delete(e.reports, vm)
 			continue
 		}
-		for name, rate := range h.rates {
+		for name, rate := range report.rates {
 			sum[name] += rate
 		}
-		e.spread(h, sum)
+		e.distributeRest(report, sum)
 	}
 	return sum
 }
 
-// spread adds the part of a report that names nobody, in proportion to the
-// estimates of the names that the report leaves out.
-func (e *Estimator) spread(h heard, sum map[placement.Name]float64) {
-	if h.rest <= 0 {
+// distributeRest adds the part of a report that is not attributed to names. It
+// is divided among the names that the report does not list, in proportion to
+// their estimates.
+func (e *Estimator) distributeRest(report vmReport, sum map[placement.Name]float64) {
+	if report.restRate <= 0 {
 		return
 	}
 	var others float64
 	for name, rate := range e.rates {
-		if _, named := h.rates[name]; !named {
+		if _, named := report.rates[name]; !named {
 			others += rate
 		}
 	}
@@ -139,8 +145,8 @@
 		return
 	}
 	for name, rate := range e.rates {
-		if _, named := h.rates[name]; !named {
-			sum[name] += h.rest * rate / others
+		if _, named := report.rates[name]; !named {
+			sum[name] += report.restRate * rate / others
 		}
 	}
 }
--- a/internal/demand/report.go
+++ b/internal/demand/report.go
@@ -8,11 +8,11 @@
 	"github.com/chestnutarch/chestnutarch/internal/placement"
 )
 
-// MaxTop bounds the names in a report. With names of 20 bytes a report stays
-// below 4 KiB, however many models and adapters there are.
-const MaxTop = 48
+// MaxTopNames bounds the number of names in a report. With names of 20 bytes a
+// report stays below 4 KiB, however many models and adapters there are.
+const MaxTopNames = 48
 
-// Count is the offered load of one name: what callers asked for, whether it was
+// Count is the offered load of one name: what callers requested, whether it was
 // admitted or not.
 type Count struct {
 	placement.Name
@@ -20,15 +20,16 @@
 	Tokens int64 `json:"tokens"`
 }
 
-// Report is what one entry VM was asked for in one window.
+// Report is the offered load of one entry VM in one window.
 type Report struct {
 	// VM names the entry VM.
 	VM string `json:"vm"`
 	// WindowMS is the window's length in milliseconds.
 	WindowMS int64 `json:"window_ms"`
-	// Top lists the names with the most tokens, at most MaxTop.
+	// Top lists the names with the most tokens, at most MaxTopNames.
 	Top []Count `json:"top"`
-	// Rest is the sum over all other names, RestNames how many they are.
+	// Rest is the sum of the tokens of all other names, RestNames the number of
+	// those names.
 	Rest      int64 `json:"rest,omitempty"`
 	RestNames int   `json:"rest_names,omitempty"`
 }
@@ -40,18 +41,19 @@
 	tokens map[placement.Name]int64
 }
 
-// NewCounter returns a counter whose first window begins now.
+// NewCounter returns a counter whose first window starts now.
 func NewCounter(now time.Time) *Counter {
 	return &Counter{since: now, tokens: make(map[placement.Name]int64)}
 }
 
-// Add counts tokens that a caller asked for.
+// Add counts tokens that a caller requested.
 func (c *Counter) Add(n placement.Name, tokens int64) {
 	c.tokens[n] += tokens
 }
 
-// Cut ends the window and returns its report.
-func (c *Counter) Cut(vm string, now time.Time) Report {
+// CloseWindow ends the window, starts the next one and returns the report of
+// the one that ended.
+func (c *Counter) CloseWindow(vm string, now time.Time) Report {
 	r := Report{VM: vm, WindowMS: max(1, now.Sub(c.since).Milliseconds())}
 	for name, tokens := range c.tokens {
 		r.Top = append(r.Top, Count{Name: name, Tokens: tokens})
@@ -59,12 +61,12 @@
 	slices.SortFunc(r.Top, func(a, b Count) int {
 		return cmp.Or(cmp.Compare(b.Tokens, a.Tokens), cmp.Compare(a.Model, b.Model), cmp.Compare(a.Adapter, b.Adapter))
 	})
-	if len(r.Top) > MaxTop {
-		for _, count := range r.Top[MaxTop:] {
+	if len(r.Top) > MaxTopNames {
+		for _, count := range r.Top[MaxTopNames:] {
 			r.Rest += count.Tokens
 			r.RestNames++
 		}
-		r.Top = slices.Clone(r.Top[:MaxTop])
+		r.Top = slices.Clone(r.Top[:MaxTopNames])
 	}
 	c.since = now
 	clear(c.tokens)
--- a/internal/placement/placementmeasure/policies.go
+++ b/internal/placement/placementmeasure/policies.go
@@ -24,7 +24,7 @@
 
 func (p *plannedPolicy) onStep(w *simulation, rates map[placement.Name]float64, now time.Duration) {
 	reportTime := time.Unix(0, 0).Add(now + time.Second)
-	p.estimator.Hear(report(rates), reportTime)
+	p.estimator.Observe(report(rates), reportTime)
 	plan := placement.Make(placement.Input{Models: w.trace.models, Engines: w.engines, Demand: p.estimator.Rates(reportTime)})
 	wanted := make(map[copyKey]struct{}, len(plan.Assignments))
 	index := make(map[string]int, len(w.engines))
@@ -58,7 +58,7 @@
 	for name, rate := range rates {
 		c.Add(name, int64(rate*stepLength.Seconds()))
 	}
-	return c.Cut("vm1", time.Unix(0, 0).Add(stepLength))
+	return c.CloseWindow("vm1", time.Unix(0, 0).Add(stepLength))
 }
 
 // lruPolicy loads the item that a request could not be served with and evicts
--- a/internal/planner/demand.go
+++ b/internal/planner/demand.go
@@ -52,7 +52,7 @@
 	for {
 		select {
 		case r := <-l.planner.demandReports:
-			l.estimator.Hear(r, now)
+			l.estimator.Observe(r, now)
 		default:
 			return
 		}
@@ -123,7 +123,7 @@
 
 func (r *Reporter) reportOnce(ctx context.Context) {
 	r.lock.Lock()
-	report := r.counter.Cut(r.options.VM, time.Now())
+	report := r.counter.CloseWindow(r.options.VM, time.Now())
 	r.lock.Unlock()
 	if r.leader == "" {
 		return
--- a/internal/planner/status.go
+++ b/internal/planner/status.go
@@ -33,7 +33,7 @@
 	// Plan is what every engine should hold.
 	Plan placement.Plan `json:"plan"`
 	// Demand is the demand estimate that the plan is based on, largest first,
-	// at most demand.MaxTop names.
+	// at most demand.MaxTopNames names.
 	Demand []NameDemand `json:"demand,omitempty"`
 	// Engines lists for every engine the items that may be resident there and
 	// whether they are ready.
@@ -104,7 +104,7 @@
 	slices.SortFunc(out, func(a, b NameDemand) int {
 		return cmp.Or(cmp.Compare(b.TokensPerSecond, a.TokensPerSecond), cmp.Compare(a.String(), b.String()))
 	})
-	return out[:min(len(out), demand.MaxTop)]
+	return out[:min(len(out), demand.MaxTopNames)]
 }
 
 func engineStatus(e placement.Engine) EngineStatus {
