--- a/internal/configstate/bench_test.go
+++ b/internal/configstate/bench_test.go
@@ -9,8 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// targetDocument is a document with as many engines as an environment may have
-// in two years, 360 models with five adapters each and 40 teams.
+// targetDocument returns a document of the size that an environment may have in
+// two years: the given number of engines, 360 models with five adapters each and
+// 40 teams.
 func targetDocument(engines int) string {
 	var b strings.Builder
 	b.WriteString("environment: target\nfailure_domains: [a, b, c, d]\nteams:\n")
@@ -33,7 +34,7 @@
 	return b.String()
 }
 
-// documents returns texts of the sizes to measure.
+// documents returns the document texts to measure, keyed by the name of their size.
 func documents(b *testing.B) map[string]string {
 	today, err := os.ReadFile("../../examples/gt-central.yaml")
 	require.NoError(b, err)
@@ -44,7 +45,7 @@
 	}
 }
 
-// BenchmarkOffer is what a VM does when a changed document comes into force.
+// BenchmarkOffer measures what a VM does when a changed document comes into force.
 func BenchmarkOffer(b *testing.B) {
 	for name, text := range documents(b) {
 		b.Run(name, func(b *testing.B) {
@@ -62,7 +63,7 @@
 	}
 }
 
-// BenchmarkWithdrawal is what a VM does when a key is withdrawn.
+// BenchmarkWithdrawal measures what a VM does when a key is withdrawn.
 func BenchmarkWithdrawal(b *testing.B) {
 	for name, text := range documents(b) {
 		b.Run(name, func(b *testing.B) {
@@ -78,7 +79,7 @@
 	}
 }
 
-// BenchmarkUpdate gives the bytes that a peer is sent for one change: the whole
+// BenchmarkUpdate reports the bytes sent to a peer for one change: the whole
 // envelope, and the delta of a changed line.
 func BenchmarkUpdate(b *testing.B) {
 	for name, text := range documents(b) {
--- a/internal/configstate/compress.go
+++ b/internal/configstate/compress.go
@@ -8,13 +8,13 @@
 	"github.com/pkg/errors"
 )
 
-// compressFrom is the size of a document in bytes from which it is stored
-// compressed. Smaller ones stay readable in the key-value service.
-const compressFrom = 64 << 10
+// compressThreshold is the document size in bytes from which a document is
+// stored compressed. Smaller documents stay readable in the key-value service.
+const compressThreshold = 64 << 10
 
-// maxDocument bounds a document in bytes after decompression, so that a small
-// value cannot fill the memory of every VM.
-const maxDocument = 16 << 20
+// maxDocumentBytes is the maximum size of a decompressed document in bytes, so
+// that a small compressed value cannot exhaust the memory of every VM.
+const maxDocumentBytes = 16 << 20
 
 func compress(text string) ([]byte, error) {
 	var b bytes.Buffer
@@ -33,12 +33,12 @@
 	if err != nil {
 		return "", errors.Wrap(ErrEnvelope, err.Error())
 	}
-	text, err := io.ReadAll(io.LimitReader(r, maxDocument+1))
+	text, err := io.ReadAll(io.LimitReader(r, maxDocumentBytes+1))
 	if err != nil {
 		return "", errors.Wrap(ErrEnvelope, err.Error())
 	}
-	if len(text) > maxDocument {
-		return "", errors.Wrapf(ErrEnvelope, "document above %d bytes", maxDocument)
+	if len(text) > maxDocumentBytes {
+		return "", errors.Wrapf(ErrEnvelope, "decompressed document is larger than %d bytes", maxDocumentBytes)
 	}
 	return string(text), nil
 }
--- a/internal/configstate/delta.go
+++ b/internal/configstate/delta.go
@@ -9,16 +9,18 @@
 	"github.com/chestnutarch/chestnutarch/internal/document"
 )
 
-// ErrGap means that deltas start from a version that is not in force here. The
+// ErrGap means that deltas cannot be applied to the local state: they start from
+// a version that is not in force here, or the withdrawals differ after them. The
 // whole envelope is needed.
-var ErrGap = errors.New("configstate: deltas do not connect")
+var ErrGap = errors.New("configstate: deltas do not apply to the local state")
 
-// Delta leads from one accepted envelope to a later one. Most changes touch one
-// place of a long document, so a delta is a small part of it.
+// Delta is the difference between an accepted envelope and a later one. Most
+// changes touch one place of a long document, so a delta is much smaller than
+// the document.
 type Delta struct {
 	// From is the version that the delta applies to.
 	From int64 `json:"from"`
-	// Version and the fields down to Promotion are the later envelope's.
+	// Version and the fields down to Promotion are copied from the later envelope.
 	Version    int64     `json:"version"`
 	ChangeID   string    `json:"change_id"`
 	Nonce      string    `json:"nonce"`
@@ -26,16 +28,16 @@
 	AcceptedAt time.Time `json:"accepted_at"`
 	Author     string    `json:"author,omitempty"`
 	Promotion  *Evidence `json:"promotion,omitempty"`
-	// Prefix and Suffix are how many bytes of the document stay at its start
-	// and its end. Middle stands between them.
+	// Prefix and Suffix are the numbers of bytes that are unchanged at the start
+	// and the end of the document. Middle is the new text between them.
 	Prefix int    `json:"prefix"`
 	Suffix int    `json:"suffix"`
 	Middle string `json:"middle"`
-	// Withdrawn lists the digests that are added.
+	// Withdrawn lists the withdrawn digests that the later envelope adds.
 	Withdrawn []string `json:"withdrawn,omitempty"`
 }
 
-// NewDelta returns what leads from one envelope to a later one.
+// NewDelta returns the delta from one envelope to a later one.
 func NewDelta(from, to *Envelope) Delta {
 	d := Delta{
 		From:       from.Version,
@@ -52,23 +54,24 @@
 	for d.Prefix < min(len(a), len(b)) && a[d.Prefix] == b[d.Prefix] {
 		d.Prefix++
 	}
-	most := min(len(a), len(b)) - d.Prefix
-	for d.Suffix < most && a[len(a)-1-d.Suffix] == b[len(b)-1-d.Suffix] {
+	maxSuffix := min(len(a), len(b)) - d.Prefix
+	for d.Suffix < maxSuffix && a[len(a)-1-d.Suffix] == b[len(b)-1-d.Suffix] {
 		d.Suffix++
 	}
 	d.Middle = b[d.Prefix : len(b)-d.Suffix]
 	return d
 }
 
-// Apply returns the envelope that the delta leads to. It returns ErrGap if base
-// is another version, and ErrEnvelope if the result does not match its digest.
+// Apply returns the envelope that results from applying the delta to base. It
+// returns ErrGap if base is nil or not at version From, and ErrEnvelope if the
+// delta does not fit the base document or the result does not match its digest.
 func (d *Delta) Apply(base *Envelope) (*Envelope, error) {
 	if base == nil || base.Version != d.From {
-		return nil, errors.Wrapf(ErrGap, "from version %d", d.From)
+		return nil, errors.Wrapf(ErrGap, "delta starts from version %d", d.From)
 	}
 	text := base.Document
 	if d.Prefix < 0 || d.Suffix < 0 || d.Prefix > len(text) || d.Suffix > len(text)-d.Prefix {
-		return nil, errors.Wrapf(ErrEnvelope, "delta to version %d does not fit", d.Version)
+		return nil, errors.Wrapf(ErrEnvelope, "delta to version %d: prefix or suffix outside the base document", d.Version)
 	}
 	e := &Envelope{
 		Environment: base.Environment,
@@ -85,29 +88,30 @@
 	return e, e.check()
 }
 
-// Update is what one VM sends another that is behind: deltas, or the whole
-// envelope where they would be no smaller or do not reach back far enough.
+// Update is what one VM sends to another one that has an older version: deltas,
+// or the whole envelope if the deltas would be no smaller or do not go back far
+// enough.
 type Update struct {
-	// Environment names the sender's, with deltas.
+	// Environment is the name of the sender's environment. It is set with deltas.
 	Environment string
 	// Envelope is the whole envelope, nil with deltas.
 	Envelope *Envelope
-	// Deltas lead from a version of the receiver to one of the sender.
+	// Deltas lead from the receiver's version to the sender's.
 	Deltas []Delta
-	// WithdrawnSum is the sender's Snapshot.WithdrawnSum, with deltas. The
-	// sender may have learned of a withdrawal before the delta that carries it
-	// began, so that no delta of its list does.
+	// WithdrawnSum is the sender's Snapshot.WithdrawnSum. It is set with deltas.
+	// The sender may have received a withdrawal outside of an envelope, before
+	// the first delta of the list. No delta of the list contains it then.
 	WithdrawnSum uint64
 }
 
-// deltaList is a list of deltas on the wire.
+// deltaList is the wire format of a list of deltas.
 type deltaList struct {
 	Environment  string  `json:"environment"`
 	Deltas       []Delta `json:"deltas"`
 	WithdrawnSum uint64  `json:"withdrawn_sum,string"`
 }
 
-// EncodeDeltas returns the JSON of a list that DecodeUpdate reads.
+// EncodeDeltas encodes a list of deltas as JSON for DecodeUpdate.
 func EncodeDeltas(environment string, list []Delta, withdrawnSum uint64) ([]byte, error) {
 	data, err := json.Marshal(deltaList{Environment: environment, Deltas: list, WithdrawnSum: withdrawnSum})
 	if err != nil {
@@ -116,7 +120,8 @@
 	return data, nil
 }
 
-// DecodeUpdate reads what Envelope.Encode or EncodeDeltas has written.
+// DecodeUpdate decodes the output of Envelope.Encode or EncodeDeltas. It returns
+// ErrEnvelope if the data is neither.
 func DecodeUpdate(data []byte) (*Update, error) {
 	var list deltaList
 	if err := json.Unmarshal(data, &list); err != nil {
@@ -132,22 +137,24 @@
 	return &Update{Envelope: e}, nil
 }
 
-// OfferUpdate takes an update as Offer takes an envelope. It returns ErrGap if
-// the deltas do not reach what is in force, or if the sender knows of other
-// withdrawals than are known here afterwards: the whole envelope tells which.
+// OfferUpdate applies an update as Offer applies an envelope. It returns ErrGap
+// if the deltas do not start at the version in force, or if the sender's set of
+// withdrawals differs from the local one afterwards. The whole envelope then
+// contains the missing withdrawals.
 func (s *State) OfferUpdate(u *Update) (changed bool, err error) {
 	if u.Envelope != nil {
 		return s.Offer(u.Envelope)
 	}
-	if err := s.foreign(u.Environment); err != nil {
+	if err := s.checkEnvironment(u.Environment); err != nil {
 		return false, err
 	}
 	for i := range u.Deltas {
 		d := &u.Deltas[i]
 		if s.envelope != nil && d.Version <= s.envelope.Version {
-			// Already passed, but its withdrawals count.
-			grew, err := s.Withdraw(d.Withdrawn)
-			changed = changed || grew
+			// The version is not newer than the one in force, but its
+			// withdrawals still apply.
+			added, err := s.Withdraw(d.Withdrawn)
+			changed = changed || added
 			if err != nil {
 				return changed, err
 			}
@@ -157,31 +164,31 @@
 		if err != nil {
 			return changed, err
 		}
-		moved, err := s.Offer(e)
-		changed = changed || moved
+		applied, err := s.Offer(e)
+		changed = changed || applied
 		if err != nil {
 			return changed, err
 		}
 	}
 	if s.snapshot.WithdrawnSum() != u.WithdrawnSum && !s.faults.ignoreSum {
-		return changed, errors.Wrap(ErrGap, "withdrawals differ")
+		return changed, errors.Wrap(ErrGap, "withdrawals differ from the sender's after the deltas")
 	}
 	return changed, nil
 }
 
-// check returns ErrEnvelope if the envelope's parts contradict each other.
+// check returns ErrEnvelope if the parts of the envelope are inconsistent.
 func (e *Envelope) check() error {
 	if e.Version < 1 {
-		return errors.Wrapf(ErrEnvelope, "version %d", e.Version)
+		return errors.Wrapf(ErrEnvelope, "version %d: must be at least 1", e.Version)
 	}
-	// A text that does not match its digest was cut short or mixed up on the
-	// way; taking it would put something in force that nobody accepted.
+	// A text that does not match its digest was truncated or corrupted in
+	// transit. Using it would put a document in force that nobody accepted.
 	if document.Digest([]byte(e.Document)) != e.Digest {
-		return errors.Wrapf(ErrEnvelope, "version %d: digest does not match", e.Version)
+		return errors.Wrapf(ErrEnvelope, "version %d: document does not match its digest", e.Version)
 	}
 	for _, digest := range e.Withdrawn {
 		if !document.IsDigest(digest) {
-			return errors.Wrapf(ErrEnvelope, "version %d: withdrawn %q", e.Version, digest)
+			return errors.Wrapf(ErrEnvelope, "version %d: withdrawn %q is not a SHA-256 digest", e.Version, digest)
 		}
 	}
 	return nil
--- a/internal/configstate/delta_test.go
+++ b/internal/configstate/delta_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-func TestDeltaLeadsToTheSameEnvelope(t *testing.T) {
+func TestDeltaReproducesTargetEnvelope(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		// Few letters make long common parts that overlap.
+		// A small alphabet produces long common prefixes and suffixes that overlap.
 		text := rapid.StringOfN(rapid.SampledFrom([]rune("ab\n")), 0, 30, -1)
 		from, to := envelope(3, text.Draw(rt, "from")), envelope(5, text.Draw(rt, "to"))
 		from.Withdrawn, to.Withdrawn = []string{DigestKey("x")}, Union([]string{DigestKey("x"), DigestKey("y")})
@@ -25,9 +25,9 @@
 	})
 }
 
-// A delta reaches a VM that has another version, or was cut short on its way. It
-// must put nothing in force that nobody accepted.
-func TestDeltaThatDoesNotFitIsRefused(t *testing.T) {
+// A delta that arrives at a VM with another version, or that was corrupted in
+// transit, must not put a document in force that nobody accepted.
+func TestMismatchedDeltaIsRefused(t *testing.T) {
 	from, to := envelope(1, textWithKeys(1, DigestKey("a"))), envelope(2, textWithKeys(2, DigestKey("a")))
 	d := NewDelta(from, to)
 	require.Less(t, len(d.Middle), 3)
@@ -35,15 +35,15 @@
 	require.ErrorIs(t, err, ErrGap)
 	_, err = d.Apply(nil)
 	require.ErrorIs(t, err, ErrGap)
-	for _, spoil := range []func(*Delta){
+	for _, corrupt := range []func(*Delta){
 		func(d *Delta) { d.Prefix = -1 },
 		func(d *Delta) { d.Suffix = 1 << 40 },
 		func(d *Delta) { d.Middle += "x" },
 		func(d *Delta) { d.Version = 0 },
 	} {
-		spoilt := d
-		spoil(&spoilt)
-		_, err := spoilt.Apply(from)
+		corrupted := d
+		corrupt(&corrupted)
+		_, err := corrupted.Apply(from)
 		require.ErrorIs(t, err, ErrEnvelope)
 	}
 }
@@ -56,7 +56,7 @@
 	got, err := Decode(data)
 	require.NoError(t, err)
 	require.Equal(t, e, got)
-	bomb, err := compress(strings.Repeat("x", maxDocument+1))
+	bomb, err := compress(strings.Repeat("x", maxDocumentBytes+1))
 	require.NoError(t, err)
 	_, err = decompress(bomb)
 	require.ErrorIs(t, err, ErrEnvelope)
--- a/internal/configstate/doc.go
+++ b/internal/configstate/doc.go
@@ -1,3 +1,3 @@
-// Package configstate holds the rules for configuration in force: which
-// envelope replaces which, and which keys authenticate whom. It does no I/O.
+// Package configstate implements the rules for the configuration in force: which
+// envelope replaces which, and which keys authenticate which team. It does no I/O.
 package configstate
--- a/internal/configstate/envelope.go
+++ b/internal/configstate/envelope.go
@@ -12,30 +12,31 @@
 )
 
 var (
-	// ErrEnvelope means that bytes are no envelope, or that its parts
-	// contradict each other. Nothing of it is used.
-	ErrEnvelope = errors.New("configstate: bad envelope")
-	// ErrDivergent means that two envelopes of one version hold different
-	// documents. Only a writer that goes around compare-and-swap makes them.
-	ErrDivergent = errors.New("configstate: two documents with one version")
-	// ErrForeign means that an envelope belongs to another environment.
-	ErrForeign = errors.New("configstate: envelope of another environment")
+	// ErrEnvelope means that data is not an envelope, or that the parts of the
+	// envelope are inconsistent. Nothing of it is used.
+	ErrEnvelope = errors.New("configstate: invalid envelope")
+	// ErrDivergent means that two envelopes with the same version contain
+	// different documents. Only a writer that bypasses compare-and-swap can
+	// cause this.
+	ErrDivergent = errors.New("configstate: different documents with the same version")
+	// ErrWrongEnvironment means that an envelope belongs to another environment.
+	ErrWrongEnvironment = errors.New("configstate: envelope of another environment")
 	// ErrWithdrawnListed means that a document lists a withdrawn key.
 	ErrWithdrawnListed = errors.New("configstate: document lists a withdrawn key")
 )
 
-// Envelope is an accepted configuration as the key-value service and the peers
-// carry it.
+// Envelope is an accepted configuration as it is stored in the key-value service
+// and exchanged between peers.
 type Envelope struct {
 	// Environment names the environment that accepted it.
 	Environment string `json:"environment"`
 	// Version counts accepted envelopes from 1.
 	Version int64 `json:"version"`
-	// ChangeID names the change for operators. A repeated command carries the
-	// same one.
+	// ChangeID identifies the change for operators. A repeated command has the
+	// same ID.
 	ChangeID string `json:"change_id"`
-	// Nonce is unique to one attempt to write. It tells a writer whose answer
-	// was lost whether an envelope that it reads back is its own.
+	// Nonce is unique to one write attempt. A writer that did not receive the
+	// response uses it to tell whether an envelope that it reads back is its own.
 	Nonce string `json:"nonce"`
 	// Digest is the digest of Document.
 	Digest string `json:"digest"`
@@ -43,25 +44,26 @@
 	Document string `json:"document,omitempty"`
 	// Withdrawn lists the digests of withdrawn keys in ascending order.
 	Withdrawn []string `json:"withdrawn"`
-	// AcceptedAt is the writer's wall clock, for operators to read. Nothing is
-	// decided by it.
+	// AcceptedAt is the time on the writer's wall clock. It informs operators
+	// only; no decision depends on it.
 	AcceptedAt time.Time `json:"accepted_at"`
-	// Author says who asked for the change.
+	// Author names who requested the change.
 	Author string `json:"author,omitempty"`
-	// Promotion is the evidence, if the change is a promotion.
+	// Promotion is the evidence for a promotion, nil for any other change.
 	Promotion *Evidence `json:"promotion,omitempty"`
 }
 
-// stored is an envelope as it is encoded, with a long document compressed.
-type stored struct {
+// encodedEnvelope is the JSON form of an envelope. A long document is compressed
+// in it.
+type encodedEnvelope struct {
 	Envelope
 	Compressed []byte `json:"document_gzip,omitempty"`
 }
 
 // Encode returns the envelope's JSON.
 func (e *Envelope) Encode() ([]byte, error) {
-	s := stored{Envelope: *e}
-	if len(e.Document) >= compressFrom {
+	s := encodedEnvelope{Envelope: *e}
+	if len(e.Document) >= compressThreshold {
 		compressed, err := compress(e.Document)
 		if err != nil {
 			return nil, err
@@ -70,8 +72,7 @@
 	}
 	var b bytes.Buffer
 	encoder := json.NewEncoder(&b)
-	// A document is mostly plain text; escaping <, > and & would only make it
-	// larger.
+	// Escaping <, > and & in the document's text would only make it larger.
 	encoder.SetEscapeHTML(false)
 	if err := encoder.Encode(&s); err != nil {
 		return nil, errors.Wrap(ErrEnvelope, err.Error())
@@ -79,10 +80,10 @@
 	return b.Bytes(), nil
 }
 
-// Decode reads an envelope and checks that its parts belong together. It does
-// not check the document. It returns ErrEnvelope.
+// Decode decodes an envelope and checks that its parts are consistent. It does
+// not validate the document. It returns ErrEnvelope if either fails.
 func Decode(data []byte) (*Envelope, error) {
-	s := new(stored)
+	s := new(encodedEnvelope)
 	if err := json.Unmarshal(data, s); err != nil {
 		return nil, errors.Wrap(ErrEnvelope, err.Error())
 	}
@@ -103,7 +104,7 @@
 	return slices.Compact(all)
 }
 
-// Missing returns the digests of want that have lacks. Both are sorted.
+// Missing returns the digests in want that are not in have. Both must be sorted.
 func Missing(have, want []string) []string {
 	var missing []string
 	for _, digest := range want {
@@ -114,13 +115,13 @@
 	return missing
 }
 
-// ListedWithdrawn returns ErrWithdrawnListed if the document lists a withdrawn
-// digest. A document from before a withdrawal must not look as if the key were
-// good again.
-func ListedWithdrawn(doc *document.Document, withdrawn []string) error {
+// CheckListedKeys returns ErrWithdrawnListed if the document lists a withdrawn
+// digest. A document written before a withdrawal must not suggest that the key
+// is valid again.
+func CheckListedKeys(doc *document.Document, withdrawn []string) error {
 	for _, team := range doc.Teams {
 		for _, key := range team.Keys {
-			if _, gone := slices.BinarySearch(withdrawn, key.SHA256); gone {
+			if _, found := slices.BinarySearch(withdrawn, key.SHA256); found {
 				return errors.Wrapf(ErrWithdrawnListed, "team %s, key %s, digest %s", team.Name, key.ID, key.SHA256)
 			}
 		}
--- a/internal/configstate/fuzz_test.go
+++ b/internal/configstate/fuzz_test.go
@@ -15,8 +15,8 @@
 	"github.com/chestnutarch/chestnutarch/internal/oracle"
 )
 
-// The seed is fixed so that every run gives the same verdict; the flags of the
-// command line, which long fuzzing uses, come after it.
+// TestMain fixes the seed so that every run gives the same result. Flags of the
+// command line, which long fuzzing runs use, override it.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "200")
@@ -24,15 +24,16 @@
 	os.Exit(m.Run())
 }
 
-// vm is one state machine with what its oracle expects of it.
+// vm is one state machine with the version and the withdrawals that the oracle
+// expects of it.
 type vm struct {
-	state   State
-	version int64
-	heard   map[string]bool
+	state     State
+	version   int64
+	withdrawn map[string]bool
 }
 
-// world is a register of accepted envelopes and the VMs that hear of them.
-type world struct {
+// simulation holds a register of accepted envelopes and the VMs that receive them.
+type simulation struct {
 	accepted []*Envelope
 	vms      []*vm
 	keys     []string
@@ -40,116 +41,117 @@
 
 const fuzzedKeys = 4
 
-func newWorld(faults faults) *world {
-	w := &world{}
+func newSimulation(faults faults) *simulation {
+	sim := &simulation{}
 	for i := range fuzzedKeys {
-		w.keys = append(w.keys, DigestKey(fmt.Sprint(i)))
+		sim.keys = append(sim.keys, DigestKey(fmt.Sprint(i)))
 	}
-	w.accept(nil)
+	sim.accept(nil)
 	for range 3 {
-		w.vms = append(w.vms, newVM(faults))
+		sim.vms = append(sim.vms, newVM(faults))
 	}
-	return w
+	return sim
 }
 
 func newVM(faults faults) *vm {
-	return &vm{state: State{faults: faults}, heard: make(map[string]bool)}
+	return &vm{state: State{faults: faults}, withdrawn: make(map[string]bool)}
 }
 
-func (w *world) accept(withdrawn []string) {
-	version := int64(len(w.accepted) + 1)
-	w.accepted = append(w.accepted, envelope(version, textWithKeys(int(version), w.keys...), withdrawn...))
+func (sim *simulation) accept(withdrawn []string) {
+	version := int64(len(sim.accepted) + 1)
+	sim.accepted = append(sim.accepted, envelope(version, textWithKeys(int(version), sim.keys...), withdrawn...))
 }
 
-// deliver brings an envelope to a VM and notes what it has to know from now on.
-func (w *world) deliver(v *vm, e *Envelope) error {
+// deliver offers an envelope to a VM and records the version and the withdrawals
+// that the VM must have from then on.
+func (sim *simulation) deliver(v *vm, e *Envelope) error {
 	if _, err := v.state.Offer(e); err != nil {
 		return err
 	}
 	v.version = max(v.version, e.Version)
 	for _, digest := range e.Withdrawn {
-		v.heard[digest] = true
+		v.withdrawn[digest] = true
 	}
 	return nil
 }
 
-// pull brings a VM what a peer has, as deltas if they are wanted and there are
-// any, and whole if those do not connect.
-func (w *world) pull(v, from *vm, deltas bool) error {
+// pull updates a VM from a peer: by deltas if requested and available, and by the
+// whole envelope if the deltas do not apply.
+func (sim *simulation) pull(v, from *vm, deltas bool) error {
 	if from.state.Envelope() == nil {
 		return nil
 	}
 	if deltas && 0 < v.version && v.version < from.version {
 		u := &Update{WithdrawnSum: from.state.Snapshot().WithdrawnSum()}
 		for i := v.version; i < from.version; i++ {
-			u.Deltas = append(u.Deltas, NewDelta(w.accepted[i-1], w.accepted[i]))
+			u.Deltas = append(u.Deltas, NewDelta(sim.accepted[i-1], sim.accepted[i]))
 		}
 		_, err := v.state.OfferUpdate(u)
 		v.version = from.version
-		maps.Copy(v.heard, from.heard)
+		maps.Copy(v.withdrawn, from.withdrawn)
 		if !errors.Is(err, ErrGap) {
 			return err
 		}
 	}
-	maps.Copy(v.heard, from.heard)
-	return w.deliver(v, from.state.Envelope())
+	maps.Copy(v.withdrawn, from.withdrawn)
+	return sim.deliver(v, from.state.Envelope())
 }
 
-// check compares a VM with the register and the set of withdrawals.
-func (w *world) check(v *vm) error {
+// check compares the VM's state with the register and the set of withdrawals.
+func (sim *simulation) check(v *vm) error {
 	s := v.state.Snapshot()
 	if s == nil {
 		return nil
 	}
 	if s.Version != v.version {
-		return errors.Errorf("version %d in force after version %d", s.Version, v.version)
+		return errors.Errorf("version %d in force, expected version %d", s.Version, v.version)
 	}
 	if rate := s.Document.Teams[0].Rate; rate != v.version {
-		return errors.Errorf("document %d in force as version %d", rate, v.version)
+		return errors.Errorf("document of version %d in force, expected version %d", rate, v.version)
 	}
-	for digest := range v.heard {
+	for digest := range v.withdrawn {
 		if _, err := s.Authenticate(digest); !errors.Is(err, ErrKeyWithdrawn) {
-			return errors.Errorf("version %d: withdrawn key %.8s: %v", s.Version, digest, err)
+			return errors.Errorf("version %d: withdrawn key %.8s not refused as withdrawn: got %v", s.Version, digest, err)
 		}
 	}
-	if !slices.Equal(v.state.Envelope().Withdrawn, Union(v.state.Envelope().Withdrawn, w.accepted[s.Version-1].Withdrawn)) {
-		return errors.Errorf("version %d passed on without its withdrawals", s.Version)
+	if !slices.Equal(v.state.Envelope().Withdrawn, Union(v.state.Envelope().Withdrawn, sim.accepted[s.Version-1].Withdrawn)) {
+		return errors.Errorf("version %d: the envelope for peers lacks withdrawals of the accepted envelope", s.Version)
 	}
 	return nil
 }
 
-// stateTrial delivers accepted envelopes late, twice, in any order and from
-// peers, pushes withdrawals past the service and restarts VMs.
+// stateTrial delivers accepted envelopes late, repeatedly, in any order and from
+// peers, pushes withdrawals to VMs directly and restarts VMs.
 func stateTrial(t *rapid.T, faults faults) error {
-	w := newWorld(faults)
+	sim := newSimulation(faults)
 	for range rapid.IntRange(1, 60).Draw(t, "steps") {
-		v := rapid.SampledFrom(w.vms).Draw(t, "vm")
-		newest := w.accepted[len(w.accepted)-1]
+		v := rapid.SampledFrom(sim.vms).Draw(t, "vm")
+		newest := sim.accepted[len(sim.accepted)-1]
 		switch rapid.IntRange(0, 5).Draw(t, "step") {
 		case 0:
-			w.accept(newest.Withdrawn)
+			sim.accept(newest.Withdrawn)
 		case 1:
-			w.accept(append([]string{rapid.SampledFrom(w.keys).Draw(t, "key")}, newest.Withdrawn...))
+			sim.accept(append([]string{rapid.SampledFrom(sim.keys).Draw(t, "key")}, newest.Withdrawn...))
 		case 2:
-			if err := w.deliver(v, rapid.SampledFrom(w.accepted).Draw(t, "envelope")); err != nil {
+			if err := sim.deliver(v, rapid.SampledFrom(sim.accepted).Draw(t, "envelope")); err != nil {
 				return err
 			}
 		case 3:
-			from := rapid.SampledFrom(w.vms).Draw(t, "peer")
-			if err := w.pull(v, from, rapid.Bool().Draw(t, "deltas")); err != nil {
+			from := rapid.SampledFrom(sim.vms).Draw(t, "peer")
+			if err := sim.pull(v, from, rapid.Bool().Draw(t, "deltas")); err != nil {
 				return err
 			}
 		case 4:
-			key := rapid.SampledFrom(w.keys).Draw(t, "key")
+			key := rapid.SampledFrom(sim.keys).Draw(t, "key")
 			if _, err := v.state.Withdraw([]string{key}); err != nil {
 				return err
 			}
-			v.heard[key] = true
+			v.withdrawn[key] = true
 		case 5:
 			*v = *newVM(faults)
 		}
-		for _, v := range w.vms {
-			if err := w.check(v); err != nil {
+		for _, v := range sim.vms {
+			if err := sim.check(v); err != nil {
 				return err
 			}
 		}
@@ -161,7 +163,7 @@
 	rapid.Check(t, func(rt *rapid.T) { require.NoError(rt, stateTrial(rt, faults{})) })
 }
 
-// Each rule of the state, left out, is noticed by the oracle.
+// The oracle detects the omission of each rule of the state.
 func TestStateFaultsAreFound(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/configstate/snapshot.go
+++ b/internal/configstate/snapshot.go
@@ -13,15 +13,15 @@
 var (
 	// ErrUnknownKey means that no team has the key.
 	ErrUnknownKey = errors.New("configstate: unknown key")
-	// ErrKeyWithdrawn means that the key was withdrawn. It never comes back.
+	// ErrKeyWithdrawn means that the key was withdrawn. A withdrawal is permanent.
 	ErrKeyWithdrawn = errors.New("configstate: key withdrawn")
 )
 
-// Holder says whose a key is.
+// Holder is the owner of a key.
 type Holder struct {
 	// Team is the name of the team.
 	Team string
-	// KeyID names the key in logs.
+	// KeyID identifies the key in logs.
 	KeyID string
 }
 
@@ -33,22 +33,22 @@
 	ChangeID string
 	// Digest is the hexadecimal SHA-256 digest of the document's text.
 	Digest string
-	// Document is the checked document.
+	// Document is the validated document.
 	Document *document.Document
 
-	holders      map[string]Holder
+	owners       map[string]Holder
 	withdrawn    map[string]struct{}
 	withdrawnSum uint64
 }
 
-// NewSnapshot indexes a checked document. The withdrawn digests are hexadecimal.
+// NewSnapshot indexes a validated document. The withdrawn digests are hexadecimal.
 func NewSnapshot(version int64, changeID, digest string, doc *document.Document, withdrawn []string) *Snapshot {
 	s := &Snapshot{
 		Version:   version,
 		ChangeID:  changeID,
 		Digest:    digest,
 		Document:  doc,
-		holders:   make(map[string]Holder),
+		owners:    make(map[string]Holder),
 		withdrawn: make(map[string]struct{}, len(withdrawn)),
 	}
 	for _, d := range withdrawn {
@@ -57,18 +57,18 @@
 	}
 	for _, team := range doc.Teams {
 		for _, key := range team.Keys {
-			s.holders[key.SHA256] = Holder{Team: team.Name, KeyID: key.ID}
+			s.owners[key.SHA256] = Holder{Team: team.Name, KeyID: key.ID}
 		}
 	}
 	return s
 }
 
-// WithdrawnSum returns a number that differs between snapshots that know of
-// different withdrawals. Peers compare it: a withdrawal that was pushed while
-// the service is down does not change the version.
+// WithdrawnSum returns a checksum of the set of withdrawals. Peers compare it,
+// because a withdrawal that is pushed while the service is down does not change
+// the version.
 func (s *Snapshot) WithdrawnSum() uint64 { return s.withdrawnSum }
 
-// Withdrawn returns the number of withdrawn keys that are known.
+// Withdrawn returns the number of withdrawn keys in the snapshot.
 func (s *Snapshot) Withdrawn() int { return len(s.withdrawn) }
 
 // DigestKey returns the hexadecimal SHA-256 digest of a caller's key.
@@ -77,15 +77,15 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Authenticate returns whose the key with this digest is. It returns
-// ErrKeyWithdrawn or ErrUnknownKey.
+// Authenticate returns the owner of the key with this digest. It returns
+// ErrKeyWithdrawn or ErrUnknownKey if there is none.
 func (s *Snapshot) Authenticate(digest string) (Holder, error) {
-	if _, gone := s.withdrawn[digest]; gone {
+	if _, withdrawn := s.withdrawn[digest]; withdrawn {
 		return Holder{}, ErrKeyWithdrawn
 	}
-	holder, ok := s.holders[digest]
+	owner, ok := s.owners[digest]
 	if !ok {
 		return Holder{}, ErrUnknownKey
 	}
-	return holder, nil
+	return owner, nil
 }
--- a/internal/configstate/state.go
+++ b/internal/configstate/state.go
@@ -6,22 +6,22 @@
 	"github.com/chestnutarch/chestnutarch/internal/document"
 )
 
-// State is what one VM knows of the configuration. Envelopes come from the
-// service, from peers and from operators in any order, late and repeatedly; the
-// state only ever moves forward. It is not safe for concurrent use.
+// State is the configuration state of one VM. Envelopes arrive from the service,
+// from peers and from operators in any order, late and repeatedly; the state never
+// goes back to an older version. It is not safe for concurrent use.
 type State struct {
 	// Environment names the environment that the VM belongs to. Envelopes of
-	// others are refused with all that they hold: one wrong address among the
-	// peers would otherwise bring their teams, keys and upstreams. Empty means
-	// that it is not checked.
+	// other environments are refused as a whole: otherwise one wrong peer address
+	// would bring in the teams, keys and upstreams of another environment. If it
+	// is empty, the environment is not checked.
 	Environment string
 
 	envelope  *Envelope
 	withdrawn []string
 	snapshot  *Snapshot
 
-	// faults switch off single rules in tests, which show that the oracles
-	// notice.
+	// faults disables single rules in tests that check whether the oracles
+	// detect it.
 	faults faults
 }
 
@@ -32,44 +32,45 @@
 	ignoreSum         bool
 }
 
-// Offer takes an envelope from any source. It reports whether the snapshot
-// changed. An envelope that is behind changes nothing, but its withdrawals
-// count: a withdrawal holds from whichever source it is heard first. The same
-// is true with an error, which means that the document cannot be used.
+// Offer applies an envelope from any source and reports whether the snapshot
+// changed. Of an envelope that is not newer than the one in force only the
+// withdrawals apply: a withdrawal takes effect from whichever source delivers it
+// first. Withdrawals also apply if the document cannot be parsed, which is
+// reported as an error. Nothing applies with ErrWrongEnvironment and ErrDivergent.
 func (s *State) Offer(e *Envelope) (changed bool, err error) {
-	if err := s.foreign(e.Environment); err != nil {
+	if err := s.checkEnvironment(e.Environment); err != nil {
 		return false, err
 	}
 	if s.envelope != nil && e.Version == s.envelope.Version && e.Digest != s.envelope.Digest {
-		return false, errors.Wrapf(ErrDivergent, "version %d: %s and %s", e.Version, s.envelope.Digest, e.Digest)
+		return false, errors.Wrapf(ErrDivergent, "version %d: digest %s in force, digest %s offered", e.Version, s.envelope.Digest, e.Digest)
 	}
 	if s.faults.ignoreLate && s.envelope != nil && !s.newer(e) {
 		return false, nil
 	}
-	grew := s.merge(e.Withdrawn)
+	added := s.addWithdrawn(e.Withdrawn)
 	if s.envelope != nil && !s.newer(e) {
-		if grew {
+		if added {
 			s.publish(s.snapshot.Document)
 		}
-		return grew, nil
+		return added, nil
 	}
-	doc, err := s.read(e)
+	doc, err := s.parseDocument(e)
 	if err != nil {
-		// A document that this build cannot read, for example one of a newer
-		// release, must not hide the withdrawals that came with it.
-		if grew && s.envelope != nil {
+		// The withdrawals must take effect even if this build cannot read the
+		// document, for example because a newer release wrote it.
+		if added && s.envelope != nil {
 			s.publish(s.snapshot.Document)
 		}
-		return grew, err
+		return added, err
 	}
 	s.envelope = e
 	s.publish(doc)
 	return true, nil
 }
 
-func (s *State) foreign(environment string) error {
+func (s *State) checkEnvironment(environment string) error {
 	if s.Environment != "" && environment != s.Environment {
-		return errors.Wrapf(ErrForeign, "%q offered to %q", environment, s.Environment)
+		return errors.Wrapf(ErrWrongEnvironment, "envelope of %q offered to %q", environment, s.Environment)
 	}
 	return nil
 }
@@ -81,20 +82,20 @@
 	return e.Version > s.envelope.Version
 }
 
-// read parses the document unless it is the one in force, which is the common
-// case of a withdrawal.
-func (s *State) read(e *Envelope) (*document.Document, error) {
+// parseDocument parses the document unless it is the one in force, which is the
+// usual case of a withdrawal.
+func (s *State) parseDocument(e *Envelope) (*document.Document, error) {
 	if s.envelope != nil && s.envelope.Digest == e.Digest {
 		return s.snapshot.Document, nil
 	}
 	return document.Parse([]byte(e.Document), e.ChangeID)
 }
 
-func (s *State) merge(digests []string) (grew bool) {
+func (s *State) addWithdrawn(digests []string) (added bool) {
 	union := Union(s.withdrawn, digests)
-	grew = len(union) > len(s.withdrawn)
+	added = len(union) > len(s.withdrawn)
 	s.withdrawn = union
-	return grew
+	return added
 }
 
 func (s *State) publish(doc *document.Document) {
@@ -104,24 +105,25 @@
 	s.snapshot = NewSnapshot(s.envelope.Version, s.envelope.ChangeID, s.envelope.Digest, doc, s.withdrawn)
 }
 
-// Withdraw takes withdrawals that the service does not hold yet. They hold at
-// once, and Pending returns them until an envelope carries them. It reports
-// whether the snapshot changed.
+// Withdraw applies withdrawals that the service does not have yet. They take
+// effect at once, and Pending returns them until a stored envelope contains them.
+// It reports whether the snapshot changed, and returns ErrEnvelope if a digest is
+// malformed.
 func (s *State) Withdraw(digests []string) (changed bool, err error) {
 	for _, digest := range digests {
 		if !document.IsDigest(digest) {
-			return false, errors.Wrapf(ErrEnvelope, "withdrawn %q", digest)
+			return false, errors.Wrapf(ErrEnvelope, "withdrawn %q is not a SHA-256 digest", digest)
 		}
 	}
-	grew := s.merge(digests)
-	if grew && s.envelope != nil {
+	added := s.addWithdrawn(digests)
+	if added && s.envelope != nil {
 		s.publish(s.snapshot.Document)
 	}
-	return grew, nil
+	return added, nil
 }
 
-// Pending returns the withdrawals that an envelope of the service lacks, and
-// which therefore would be lost with the VMs that hold them.
+// Pending returns the withdrawals that are missing in an envelope of the service
+// and therefore would be lost with the VMs that have them.
 func (s *State) Pending(stored *Envelope) []string {
 	if stored == nil {
 		return s.withdrawn
@@ -129,10 +131,10 @@
 	return Missing(stored.Withdrawn, s.withdrawn)
 }
 
-// Snapshot returns the configuration in force, nil while none is known.
+// Snapshot returns the configuration in force, nil if there is none.
 func (s *State) Snapshot() *Snapshot { return s.snapshot }
 
-// Version returns the version in force, 0 while none is known.
+// Version returns the version in force, 0 if there is none.
 func (s *State) Version() int64 {
 	if s.envelope == nil {
 		return 0
@@ -140,8 +142,8 @@
 	return s.envelope.Version
 }
 
-// Envelope returns what a peer needs to catch up: the envelope in force with
-// every withdrawal that is known here. It returns nil while none is known.
+// Envelope returns the envelope in force with every withdrawal of this state, so
+// that a peer can catch up. It returns nil if there is none.
 func (s *State) Envelope() *Envelope {
 	if s.envelope == nil {
 		return nil
--- a/internal/configstate/state_test.go
+++ b/internal/configstate/state_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// A watch delivers late what a peer has brought already. Going back to it would
-// put a configuration in force that operators have replaced.
-func TestStateNeverGoesBack(t *testing.T) {
+// A watch delivers an older envelope after a peer has delivered a newer one.
+// Applying it would put a configuration in force that operators have replaced.
+func TestStateIgnoresOlderEnvelope(t *testing.T) {
 	var s State
 	changed, err := s.Offer(envelope(2, textWithKeys(2)))
 	require.NoError(t, err)
@@ -44,16 +44,16 @@
 	require.EqualValues(t, 2, s.Snapshot().Document.Teams[0].Rate)
 }
 
-// An operator applies a document from before a withdrawal, and its envelope
-// reaches a VM that holds the withdrawal. The key stays refused there.
-func TestWithdrawnKeyNeverComesBack(t *testing.T) {
+// An operator applies a document written before a withdrawal, and its envelope
+// reaches a VM that has the withdrawal. The VM must still refuse the key.
+func TestWithdrawnKeyStaysRefused(t *testing.T) {
 	key := DigestKey("secret")
 	var s State
 	_, err := s.Offer(envelope(1, textWithKeys(1, key)))
 	require.NoError(t, err)
-	holder, err := s.Snapshot().Authenticate(key)
+	owner, err := s.Snapshot().Authenticate(key)
 	require.NoError(t, err)
-	require.Equal(t, Holder{Team: "t", KeyID: "k0"}, holder)
+	require.Equal(t, Holder{Team: "t", KeyID: "k0"}, owner)
 
 	before := s.Snapshot().WithdrawnSum()
 	changed, err := s.Withdraw([]string{key})
@@ -67,11 +67,11 @@
 	_, err = s.Snapshot().Authenticate(key)
 	require.ErrorIs(t, err, ErrKeyWithdrawn)
 	require.Equal(t, []string{key}, s.Envelope().Withdrawn)
-	require.ErrorIs(t, ListedWithdrawn(s.Snapshot().Document, s.Envelope().Withdrawn), ErrWithdrawnListed)
+	require.ErrorIs(t, CheckListedKeys(s.Snapshot().Document, s.Envelope().Withdrawn), ErrWithdrawnListed)
 }
 
-// A peer that is behind was told of a withdrawal that this VM missed.
-func TestLateEnvelopeStillBringsItsWithdrawals(t *testing.T) {
+// A peer with an older version has received a withdrawal that this VM missed.
+func TestOlderEnvelopeWithdrawalsAreApplied(t *testing.T) {
 	key := DigestKey("secret")
 	var s State
 	_, err := s.Offer(envelope(2, textWithKeys(2, key)))
@@ -83,7 +83,7 @@
 	require.ErrorIs(t, err, ErrKeyWithdrawn)
 }
 
-func TestStateRefusesWhatItCannotUse(t *testing.T) {
+func TestStateRefusesUnusableEnvelopes(t *testing.T) {
 	var s State
 	_, err := s.Offer(envelope(1, "environment: [\n"))
 	require.Error(t, err)
@@ -109,25 +109,25 @@
 	}
 }
 
-func at(mono, wall time.Duration) clock.Reading {
+func clockReading(mono, wall time.Duration) clock.Reading {
 	return clock.Reading{Mono: mono, Wall: time.Unix(1000, 0).Add(wall)}
 }
 
-// A VM is paused for a minute. Its monotonic clock stood still, so that alone it
-// would go on to serve keys that were withdrawn meanwhile.
-func TestFreshnessEndsWithThePauseOfEitherClock(t *testing.T) {
-	f := UpToDate(at(0, 0), 3*time.Second)
-	require.True(t, f.Fresh(at(3*time.Second, 3*time.Second)))
-	require.False(t, f.Fresh(at(0, time.Minute)), "monotonic clock stood still")
-	require.False(t, f.Fresh(at(time.Minute, -time.Hour)), "wall clock set back")
-	require.False(t, Freshness{}.Fresh(at(0, 0)))
+// A VM is paused for a minute while its monotonic clock stands still. By that
+// clock alone it would keep serving keys that were withdrawn during the pause.
+func TestFreshnessExpiresOnEitherClock(t *testing.T) {
+	f := NewFreshness(clockReading(0, 0), 3*time.Second)
+	require.True(t, f.Fresh(clockReading(3*time.Second, 3*time.Second)))
+	require.False(t, f.Fresh(clockReading(0, time.Minute)), "must not be fresh after a minute in which the monotonic clock stood still")
+	require.False(t, f.Fresh(clockReading(time.Minute, -time.Hour)), "must not be fresh after a minute in which the wall clock was set back")
+	require.False(t, Freshness{}.Fresh(clockReading(0, 0)))
 }
 
-func TestProveNamesTheThresholdThatIsMissed(t *testing.T) {
+func TestCheckEvidenceNamesMissedThreshold(t *testing.T) {
 	p := document.Promotion{MinTimeInForce: time.Hour, MinRequests: 100, MinAttainment: 0.95, MaxErrorShare: 0.01}
 	good := Evidence{Digest: "d", InForceMS: time.Hour.Milliseconds(), Requests: 100, Attained: 95, Failed: 1}
-	require.NoError(t, Prove(p, "d", &good))
-	for threshold, spoil := range map[string]func(*Evidence){
+	require.NoError(t, CheckEvidence(p, "d", &good))
+	for threshold, modify := range map[string]func(*Evidence){
 		"digest":            func(e *Evidence) { e.Digest = "other" },
 		"min_time_in_force": func(e *Evidence) { e.InForceMS-- },
 		"min_requests":      func(e *Evidence) { e.Requests-- },
@@ -135,18 +135,18 @@
 		"max_error_share":   func(e *Evidence) { e.Failed++ },
 	} {
 		e := good
-		spoil(&e)
-		var missed *ProofError
-		require.ErrorAs(t, Prove(p, "d", &e), &missed)
+		modify(&e)
+		var missed *ThresholdError
+		require.ErrorAs(t, CheckEvidence(p, "d", &e), &missed)
 		require.Equal(t, threshold, missed.Threshold)
 	}
-	require.ErrorIs(t, Prove(p, "d", nil), ErrNotProven)
-	require.ErrorIs(t, Prove(document.Promotion{}, "d", &Evidence{Digest: "d"}), ErrNotProven, "no request proves nothing")
+	require.ErrorIs(t, CheckEvidence(p, "d", nil), ErrThresholdNotMet)
+	require.ErrorIs(t, CheckEvidence(document.Promotion{}, "d", &Evidence{Digest: "d"}), ErrThresholdNotMet, "evidence without requests must be refused")
 }
 
-// One VM's settings name a peer of another environment. What that peer sends is
-// refused as a whole, withdrawals included.
-func TestForeignEnvelopeIsRefused(t *testing.T) {
+// The settings of a VM name a peer of another environment. Everything that the
+// peer sends is refused, including withdrawals.
+func TestEnvelopeOfOtherEnvironmentIsRefused(t *testing.T) {
 	s := State{Environment: "test"}
 	ours := envelope(1, textWithKeys(1, DigestKey("a")))
 	ours.Environment = "test"
@@ -155,9 +155,9 @@
 	foreign := envelope(9, textWithKeys(9), DigestKey("a"))
 	foreign.Environment = "production"
 	_, err = s.Offer(foreign)
-	require.ErrorIs(t, err, ErrForeign)
+	require.ErrorIs(t, err, ErrWrongEnvironment)
 	_, err = s.OfferUpdate(&Update{Environment: "production", Deltas: []Delta{{Version: 1, Withdrawn: []string{DigestKey("a")}}}})
-	require.ErrorIs(t, err, ErrForeign)
+	require.ErrorIs(t, err, ErrWrongEnvironment)
 	require.EqualValues(t, 1, s.Snapshot().Version)
 	require.Zero(t, s.Snapshot().Withdrawn())
 }
--- a/internal/configsync/doc.go
+++ b/internal/configsync/doc.go
@@ -1,4 +1,4 @@
-// Package configsync keeps a VM's configuration in step with the key-value
-// service and its peers (Keeper), and writes accepted changes (Writer). The
-// rules are in package configstate; this package does the I/O around them.
+// Package configsync synchronizes a VM's configuration with the key-value service
+// and its peers (Keeper), and writes accepted changes (Writer). The rules are in
+// package configstate; this package does the I/O around them.
 package configsync
--- a/internal/configsync/errors.go
+++ b/internal/configsync/errors.go
@@ -12,22 +12,22 @@
 var (
 	// ErrConflict means that another change was accepted first.
 	ErrConflict = errors.New("configsync: another change was accepted first")
-	// ErrUnknown means that a change may or may not take effect.
+	// ErrUnknown means that it is not known whether a change takes effect.
 	ErrUnknown = errors.New("configsync: outcome unknown")
 	// ErrEnvironment means that a document belongs to another environment.
 	ErrEnvironment = errors.New("configsync: document of another environment")
 	// ErrNothingAccepted means that no configuration was ever accepted.
 	ErrNothingAccepted = errors.New("configsync: nothing accepted yet")
 	// ErrNotKept means that a version is not in the history.
-	ErrNotKept = errors.New("configsync: version not kept")
+	ErrNotKept = errors.New("configsync: version not in the history")
 )
 
-// ConflictError tells the loser of a race what it would have overwritten. It
-// unwraps to ErrConflict.
+// ConflictError describes the accepted change that a refused change would have
+// overwritten. It unwraps to ErrConflict.
 type ConflictError struct {
-	// BaseVersion is the version that the change was made from.
+	// BaseVersion is the version that the refused change is based on.
 	BaseVersion int64
-	// Version, ChangeID and Author are of the envelope accepted now.
+	// Version, ChangeID and Author are those of the accepted envelope.
 	Version  int64
 	ChangeID string
 	Author   string
@@ -35,7 +35,7 @@
 	Changes []document.Change
 }
 
-// Error names both versions.
+// Error names both versions and the accepted change.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("configsync: based on version %d, but version %d (change %s by %q) is accepted",
 		e.BaseVersion, e.Version, e.ChangeID, e.Author)
@@ -44,7 +44,7 @@
 // Unwrap returns ErrConflict.
 func (e *ConflictError) Unwrap() error { return ErrConflict }
 
-func conflict(current *configstate.Envelope, baseVersion int64, wanted *document.Document) error {
+func newConflictError(current *configstate.Envelope, baseVersion int64, wanted *document.Document) error {
 	e := &ConflictError{
 		BaseVersion: baseVersion,
 		Version:     current.Version,
@@ -58,13 +58,13 @@
 	return e
 }
 
-// UnknownError tells how to ask again about a change whose outcome is not
-// known. It unwraps to ErrUnknown.
+// UnknownError identifies a change whose outcome is unknown, so that the outcome
+// can be queried later with Writer.Outcome. It unwraps to ErrUnknown.
 type UnknownError struct {
-	// ChangeID and Nonce name the attempt.
+	// ChangeID and Nonce identify the attempt.
 	ChangeID string
 	Nonce    string
-	// BaseVersion is the version that it was made from.
+	// BaseVersion is the version that the change is based on.
 	BaseVersion int64
 }
 
@@ -78,9 +78,9 @@
 
 // EnvironmentError names both environments. It unwraps to ErrEnvironment.
 type EnvironmentError struct {
-	// Want is the environment that was asked to accept the document.
+	// Want is the environment that the document was offered to.
 	Want string
-	// Have is the environment that the document names.
+	// Have is the environment named in the document.
 	Have string
 }
 
--- a/internal/configsync/fuzz_oracle_test.go
+++ b/internal/configsync/fuzz_oracle_test.go
@@ -8,75 +8,76 @@
 	"github.com/chestnutarch/chestnutarch/internal/kv/kvtest"
 )
 
-// check holds a VM against the register and the set of withdrawals.
-func (w *world) check(m *machine) error {
-	s := m.Snapshot()
+// check compares a VM with the register and the set of withdrawals.
+func (sim *simulation) check(vm *simulatedVM) error {
+	s := vm.Snapshot()
 	if s == nil {
 		return nil
 	}
-	if s.Version < m.version {
-		return errors.Errorf("version %d in force after %d", s.Version, m.version)
+	if s.Version < vm.version {
+		return errors.Errorf("version %d in force after newer version %d", s.Version, vm.version)
 	}
-	m.version = s.Version
-	e := w.accepted[s.Version-1]
+	vm.version = s.Version
+	e := sim.accepted[s.Version-1]
 	if s.Digest != e.Digest {
-		return errors.Errorf("version %d holds another document than was accepted", s.Version)
+		return errors.Errorf("version %d: the document in force is not the accepted one", s.Version)
 	}
 	for _, digest := range e.Withdrawn {
-		m.known[digest] = true
+		vm.withdrawn[digest] = true
 	}
-	for digest := range m.known {
+	for digest := range vm.withdrawn {
 		if _, err := s.Authenticate(digest); !errors.Is(err, configstate.ErrKeyWithdrawn) {
-			return errors.Errorf("version %d: withdrawn key %.8s: %v", s.Version, digest, err)
+			return errors.Errorf("version %d: withdrawn key %.8s not refused as withdrawn: got %v", s.Version, digest, err)
 		}
 	}
-	if !m.HearsService() {
+	if !vm.ServiceFresh() {
 		return nil
 	}
-	for i, e := range w.accepted {
-		if w.at[i] < w.now-configstate.DefaultFreshFor && e.Version > s.Version {
-			return errors.Errorf("fresh at %s with version %d, although version %d was accepted at %s", w.now, s.Version, e.Version, w.at[i])
+	for i, e := range sim.accepted {
+		if sim.acceptedAt[i] < sim.now-configstate.DefaultFreshFor && e.Version > s.Version {
+			return errors.Errorf("fresh at %s with version %d, although version %d was accepted at %s", sim.now, s.Version, e.Version, sim.acceptedAt[i])
 		}
 	}
 	return nil
 }
 
-// settle ends the faults, lets all that is on its way arrive, and compares what
-// operators were told, and what is in force everywhere, with what was accepted.
-func (w *world) settle() error {
-	w.settling = true
-	w.store.Change(func(f *kvtest.Faults) { *f = kvtest.Faults{} })
-	w.store.Release(nil)
+// settle ends the faults, delivers all messages in transit, and compares the
+// outcomes reported to operators and the configuration in force at every VM with
+// the accepted envelopes.
+func (sim *simulation) settle() error {
+	sim.settling = true
+	sim.store.Change(func(f *kvtest.Faults) { *f = kvtest.Faults{} })
+	sim.store.Release(nil)
 	for range 2 {
-		for _, m := range w.vms {
+		for _, vm := range sim.vms {
 			for range 3 {
-				w.poll(m)
+				sim.poll(vm)
 			}
-			m.mergeOnce(w.ctx)
+			vm.mergeOnce(sim.ctx)
 		}
 	}
-	if err := w.observe(); err != nil {
+	if err := sim.observe(); err != nil {
 		return err
 	}
-	for _, m := range w.vms {
-		if err := w.check(m); err != nil {
+	for _, vm := range sim.vms {
+		if err := sim.check(vm); err != nil {
 			return err
 		}
-		if s := m.Snapshot(); s != nil && (int(s.Version) != len(w.accepted) || m.PendingWithdrawals() > 0) {
-			return errors.Errorf("in the end version %d of %d, %d withdrawals pending", s.Version, len(w.accepted), m.PendingWithdrawals())
+		if s := vm.Snapshot(); s != nil && (int(s.Version) != len(sim.accepted) || vm.PendingWithdrawals() > 0) {
+			return errors.Errorf("after settling: version %d in force of %d accepted, %d withdrawals pending, expected the last version and none pending", s.Version, len(sim.accepted), vm.PendingWithdrawals())
 		}
 	}
-	return w.checkTold()
+	return sim.checkReported()
 }
 
-func (w *world) checkTold() error {
+func (sim *simulation) checkReported() error {
 	times := make(map[string]int)
-	for _, e := range w.accepted {
+	for _, e := range sim.accepted {
 		times[e.Nonce]++
 	}
-	for nonce, outcome := range w.told {
+	for nonce, outcome := range sim.reported {
 		if outcome == kv.TookEffect && times[nonce] != 1 || outcome == kv.DidNot && times[nonce] != 0 {
-			return errors.Errorf("change %s was told %q and accepted %d times", nonce, outcome, times[nonce])
+			return errors.Errorf("change %s: outcome %q reported, but accepted %d times", nonce, outcome, times[nonce])
 		}
 	}
 	return nil
--- a/internal/configsync/fuzz_test.go
+++ b/internal/configsync/fuzz_test.go
@@ -20,8 +20,8 @@
 	"github.com/chestnutarch/chestnutarch/internal/oracle"
 )
 
-// The seed is fixed so that every run gives the same verdict; the flags of the
-// command line, which long fuzzing uses, come after it.
+// TestMain fixes the seed so that every run gives the same result. Flags of the
+// command line, which long fuzzing runs use, override it.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "100")
@@ -29,319 +29,321 @@
 	os.Exit(m.Run())
 }
 
-// planned are the faults that a trial plants.
-type planned struct {
-	keeper   faults
+// plantedFaults are the faults that are active in a trial.
+type plantedFaults struct {
+	syncer   faults
 	writer   writerFaults
 	monoOnly bool
 }
 
-// world is a fleet of keepers over one store, stepped one action at a time, and
-// what its oracles know: a register of accepted envelopes and the time of each.
-type world struct {
-	t        *rapid.T
-	ctx      context.Context
-	planned  planned
-	store    *kvtest.Memory
-	observed []kv.Entry
-	now      time.Duration
-	vms      []*machine
-	accepted []*configstate.Envelope
-	at       []time.Duration
-	told     map[string]kv.Outcome
-	changes  int
-	settling bool
+// simulation is a fleet of VMs with one store, stepped one action at a time, and
+// the data of its oracles: a register of accepted envelopes and the time of each.
+type simulation struct {
+	t          *rapid.T
+	ctx        context.Context
+	planted    plantedFaults
+	store      *kvtest.Memory
+	observed   []kv.Entry
+	now        time.Duration
+	vms        []*simulatedVM
+	accepted   []*configstate.Envelope
+	acceptedAt []time.Duration
+	reported   map[string]kv.Outcome
+	changes    int
+	settling   bool
 }
 
-// machine is one VM: its keeper, the watch's entries that were not delivered,
-// and what the oracle expects of it.
-type machine struct {
+// simulatedVM is one VM: its syncer, the entries of its watch that were not
+// delivered yet, and what the oracle expects of it.
+type simulatedVM struct {
 	*Keeper
 	stop    context.CancelFunc
 	watch   <-chan kv.Entry
 	queue   []kv.Entry
-	behind  int64
-	paused  time.Duration
-	setBack time.Duration
-	version int64
-	known   map[string]bool
+	awaited int64
+	// monoLag and wallLag are how far the clocks are behind the simulated time.
+	monoLag   time.Duration
+	wallLag   time.Duration
+	version   int64
+	withdrawn map[string]bool
 }
 
 var keys = []string{keyA, keyB, configstate.DigestKey("c"), configstate.DigestKey("d")}
 
-// late is a store whose polls take time to answer.
-type late struct {
+// slowPollStore is a store with delayed responses to polls.
+type slowPollStore struct {
 	*kvtest.Memory
-	w *world
+	sim *simulation
 }
 
-func (s late) Revision(ctx context.Context, key string) (int64, error) {
+func (s slowPollStore) Revision(ctx context.Context, key string) (int64, error) {
 	revision, err := s.Memory.Revision(ctx, key)
-	if s.w.settling {
+	if s.sim.settling {
 		return revision, err
 	}
-	if rapid.IntRange(0, 4).Draw(s.w.t, "meanwhile") == 0 {
-		s.w.withdrawElsewhere()
+	if rapid.IntRange(0, 4).Draw(s.sim.t, "meanwhile") == 0 {
+		s.sim.withdrawElsewhere()
 	}
-	s.w.now += time.Duration(rapid.IntRange(0, 5).Draw(s.w.t, "answer takes")) * time.Second
+	s.sim.now += time.Duration(rapid.IntRange(0, 5).Draw(s.sim.t, "answer takes")) * time.Second
 	return revision, err
 }
 
-func newWorld(t *rapid.T, ctx context.Context, p planned) *world {
-	w := &world{t: t, ctx: ctx, planned: p, store: kvtest.NewMemory(nil), told: make(map[string]kv.Outcome)}
-	w.store.Observe(func(e kv.Entry) {
+func newSimulation(t *rapid.T, ctx context.Context, p plantedFaults) *simulation {
+	sim := &simulation{t: t, ctx: ctx, planted: p, store: kvtest.NewMemory(nil), reported: make(map[string]kv.Outcome)}
+	sim.store.Observe(func(e kv.Entry) {
 		if e.Key == Key("test") {
-			w.observed = append(w.observed, e)
-			w.at = append(w.at, w.now)
+			sim.observed = append(sim.observed, e)
+			sim.acceptedAt = append(sim.acceptedAt, sim.now)
 		}
 	})
 	for range 3 {
-		w.vms = append(w.vms, w.start())
+		sim.vms = append(sim.vms, sim.startVM())
 	}
-	return w
+	return sim
 }
 
-func (w *world) start() *machine {
-	m := &machine{known: make(map[string]bool)}
-	m.Keeper = NewKeeper(Options{
-		Store:       late{w.store, w},
+func (sim *simulation) startVM() *simulatedVM {
+	vm := &simulatedVM{withdrawn: make(map[string]bool)}
+	vm.Keeper = NewKeeper(Options{
+		Store:       slowPollStore{sim.store, sim},
 		Environment: "test",
 		Clock: func() clock.Reading {
-			wall := w.now - m.setBack
-			if w.planned.monoOnly {
-				wall = w.now - m.paused
+			wall := sim.now - vm.wallLag
+			if sim.planted.monoOnly {
+				wall = sim.now - vm.monoLag
 			}
-			return clock.Reading{Mono: w.now - m.paused, Wall: time.Unix(0, 0).Add(wall)}
+			return clock.Reading{Mono: sim.now - vm.monoLag, Wall: time.Unix(0, 0).Add(wall)}
 		},
-		Sleep: func(context.Context, time.Duration) bool { return rapid.IntRange(0, 3).Draw(w.t, "gives up") > 0 },
+		Sleep: func(context.Context, time.Duration) bool { return rapid.IntRange(0, 3).Draw(sim.t, "gives up") > 0 },
 	})
-	m.faults = w.planned.keeper
+	vm.faults = sim.planted.syncer
 	var ctx context.Context
-	ctx, m.stop = context.WithCancel(w.ctx)
-	go m.own(ctx)
-	return m
+	ctx, vm.stop = context.WithCancel(sim.ctx)
+	go vm.runOwner(ctx)
+	return vm
 }
 
-// observe records what the store has accepted since the last look.
-func (w *world) observe() error {
-	for _, entry := range w.observed {
+// observe checks and records the envelopes that the store has accepted since the
+// last call.
+func (sim *simulation) observe() error {
+	for _, entry := range sim.observed {
 		e, err := configstate.Decode(entry.Value)
 		if err != nil {
 			return err
 		}
-		if n := len(w.accepted); n > 0 {
-			last := w.accepted[n-1]
+		if n := len(sim.accepted); n > 0 {
+			last := sim.accepted[n-1]
 			if e.Version != last.Version+1 {
-				return errors.Errorf("version %d accepted after %d", e.Version, last.Version)
+				return errors.Errorf("version %d accepted after version %d, expected the next one", e.Version, last.Version)
 			}
 			if lost := configstate.Missing(e.Withdrawn, last.Withdrawn); len(lost) > 0 {
-				return errors.Errorf("version %d lost withdrawals %.8s", e.Version, lost)
+				return errors.Errorf("version %d lacks withdrawals %.8s of the previous version", e.Version, lost)
 			}
 		}
-		w.accepted = append(w.accepted, e)
+		sim.accepted = append(sim.accepted, e)
 	}
-	w.observed = nil
+	sim.observed = nil
 	return nil
 }
 
-func (w *world) writerOf(m *machine) *Writer {
-	writer := m.Writer()
-	writer.faults = w.planned.writer
+func (sim *simulation) writerOf(vm *simulatedVM) *Writer {
+	writer := vm.Writer()
+	writer.faults = sim.planted.writer
 	return writer
 }
 
-// note keeps what an operator was told of a change.
-func (w *world) note(nonce string, err error) {
+// recordReported records the outcome that was reported to an operator.
+func (sim *simulation) recordReported(nonce string, err error) {
 	switch {
 	case err == nil:
-		w.told[nonce] = kv.TookEffect
+		sim.reported[nonce] = kv.TookEffect
 	case errors.Is(err, ErrUnknown):
-		w.told[nonce] = kv.Unknown
+		sim.reported[nonce] = kv.Unknown
 	default:
-		w.told[nonce] = kv.DidNot
+		sim.reported[nonce] = kv.DidNot
 	}
 }
 
-// apply offers a document that may list withdrawn keys, from a version that may
-// be old.
-func (w *world) apply(m *machine) error {
-	w.changes++
-	c := Change{ID: fmt.Sprint(w.changes), Nonce: fmt.Sprint("n", w.changes)}
-	base := int64(max(0, len(w.accepted)-rapid.IntRange(0, 1).Draw(w.t, "bases back")))
-	listed := rapid.SliceOfNDistinct(rapid.SampledFrom(keys), 0, 2, rapid.ID).Draw(w.t, "keys")
-	accepted, err := w.writerOf(m).Apply(w.ctx, c, base, text(w.changes, listed...))
-	w.note(c.Nonce, err)
+// apply offers a document that may list withdrawn keys, based on a version that may
+// be outdated.
+func (sim *simulation) apply(vm *simulatedVM) error {
+	sim.changes++
+	c := Change{ID: fmt.Sprint(sim.changes), Nonce: fmt.Sprint("n", sim.changes)}
+	base := int64(max(0, len(sim.accepted)-rapid.IntRange(0, 1).Draw(sim.t, "bases back")))
+	listed := rapid.SliceOfNDistinct(rapid.SampledFrom(keys), 0, 2, rapid.ID).Draw(sim.t, "keys")
+	accepted, err := sim.writerOf(vm).Apply(sim.ctx, c, base, documentText(sim.changes, listed...))
+	sim.recordReported(c.Nonce, err)
 	if err == nil && accepted.Envelope.Version != base+1 {
-		return errors.Errorf("version %d accepted from base %d", accepted.Envelope.Version, base)
+		return errors.Errorf("version %d accepted from base %d, expected the next version", accepted.Envelope.Version, base)
 	}
 	return nil
 }
 
-func (w *world) withdraw(m *machine) {
-	w.changes++
-	c := Change{ID: fmt.Sprint(w.changes), Nonce: fmt.Sprint("n", w.changes)}
-	key := rapid.SampledFrom(keys).Draw(w.t, "key")
-	if accepted, err := w.writerOf(m).Withdraw(w.ctx, c, []string{key}); err == nil && accepted.Envelope.Nonce == c.Nonce {
-		w.told[c.Nonce] = kv.TookEffect
+func (sim *simulation) withdraw(vm *simulatedVM) {
+	sim.changes++
+	c := Change{ID: fmt.Sprint(sim.changes), Nonce: fmt.Sprint("n", sim.changes)}
+	key := rapid.SampledFrom(keys).Draw(sim.t, "key")
+	if accepted, err := sim.writerOf(vm).Withdraw(sim.ctx, c, []string{key}); err == nil && accepted.Envelope.Nonce == c.Nonce {
+		sim.reported[c.Nonce] = kv.TookEffect
 	}
 }
 
-// withdrawElsewhere is a withdrawal through a VM of which nothing else is seen.
-func (w *world) withdrawElsewhere() {
-	w.changes++
-	elsewhere := &Writer{Store: w.store, Environment: "test", Sleep: func(context.Context, time.Duration) bool { return false }}
-	_, _ = elsewhere.Withdraw(w.ctx, Change{ID: fmt.Sprint(w.changes)}, []string{rapid.SampledFrom(keys).Draw(w.t, "key")})
+// withdrawElsewhere withdraws a key through a VM outside of the simulation.
+func (sim *simulation) withdrawElsewhere() {
+	sim.changes++
+	elsewhere := &Writer{Store: sim.store, Environment: "test", Sleep: func(context.Context, time.Duration) bool { return false }}
+	_, _ = elsewhere.Withdraw(sim.ctx, Change{ID: fmt.Sprint(sim.changes)}, []string{rapid.SampledFrom(keys).Draw(sim.t, "key")})
 }
 
-func (w *world) hold(m *machine) {
-	key := rapid.SampledFrom(keys).Draw(w.t, "key")
-	if m.Withdraw(w.ctx, []string{key}) == nil {
-		m.known[key] = true
+func (sim *simulation) withdrawLocally(vm *simulatedVM) {
+	key := rapid.SampledFrom(keys).Draw(sim.t, "key")
+	if vm.Withdraw(sim.ctx, []string{key}) == nil {
+		vm.withdrawn[key] = true
 	}
 }
 
-// watchSome opens the watch if there is none and delivers any of its entries,
-// in any order, perhaps twice.
-func (w *world) watchSome(m *machine) {
-	if m.watch == nil {
-		m.watch, _ = w.store.Watch(w.ctx, m.key, m.revision)
+// stepWatch opens the watch if there is none, or delivers one of its pending
+// entries in any order. An entry may be delivered more than once.
+func (sim *simulation) stepWatch(vm *simulatedVM) {
+	if vm.watch == nil {
+		vm.watch, _ = sim.store.Watch(sim.ctx, vm.key, vm.revision)
 		return
 	}
 	for {
 		select {
-		case entry, open := <-m.watch:
+		case entry, open := <-vm.watch:
 			if open {
-				m.queue = append(m.queue, entry)
+				vm.queue = append(vm.queue, entry)
 				continue
 			}
-			m.watch = nil
+			vm.watch = nil
 		default:
 		}
 		break
 	}
-	if len(m.queue) == 0 {
+	if len(vm.queue) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.queue)-1).Draw(w.t, "entry")
-	_ = m.takeEntry(w.ctx, m.queue[i], "watch")
-	if rapid.Bool().Draw(w.t, "only once") {
-		m.queue = slices.Delete(m.queue, i, i+1)
+	i := rapid.IntRange(0, len(vm.queue)-1).Draw(sim.t, "entry")
+	_ = vm.applyEntry(sim.ctx, vm.queue[i], "watch")
+	if rapid.Bool().Draw(sim.t, "only once") {
+		vm.queue = slices.Delete(vm.queue, i, i+1)
 	}
 }
 
-// offer brings what a peer has, as deltas from a version that this VM has or
-// had, and whole if they do not connect. Whatever the peer knows is known here
-// afterwards.
-func (w *world) offer(m *machine) error {
-	from := rapid.SampledFrom(w.vms).Draw(w.t, "peer")
-	have := max(0, m.Version()-int64(rapid.IntRange(0, 3).Draw(w.t, "older")))
+// offer updates a VM from a peer, by deltas from a version that the VM has or had,
+// and by the whole envelope if the deltas do not apply. The VM must have all of the
+// peer's withdrawals afterwards.
+func (sim *simulation) offer(vm *simulatedVM) error {
+	from := rapid.SampledFrom(sim.vms).Draw(sim.t, "peer")
+	have := max(0, vm.Version()-int64(rapid.IntRange(0, 3).Draw(sim.t, "older")))
 	_, update := from.UpdateSince(have)
 	if update == nil {
 		return nil
 	}
-	err := m.Offer(w.ctx, update)
+	err := vm.Offer(sim.ctx, update)
 	if errors.Is(err, configstate.ErrGap) {
 		_, whole := from.Envelope()
-		err = m.Offer(w.ctx, whole)
+		err = vm.Offer(sim.ctx, whole)
 	}
-	for digest := range from.known {
-		m.known[digest] = true
+	for digest := range from.withdrawn {
+		vm.withdrawn[digest] = true
 	}
 	return err
 }
 
-func (w *world) poll(m *machine) { m.behind, _ = m.pollOnce(w.ctx, m.behind) }
+func (sim *simulation) poll(vm *simulatedVM) { vm.awaited, _ = vm.pollOnce(sim.ctx, vm.awaited) }
 
-// disturb changes faults, clocks and processes.
-func (w *world) disturb(i int, m *machine) {
-	some := rapid.IntRange(0, 2)
-	switch rapid.IntRange(0, 5).Draw(w.t, "disturbance") {
+// injectDisturbance changes faults of the store, pauses a clock or restarts a VM.
+func (sim *simulation) injectDisturbance(i int, vm *simulatedVM) {
+	count := rapid.IntRange(0, 2)
+	switch rapid.IntRange(0, 5).Draw(sim.t, "disturbance") {
 	case 0:
-		w.store.Change(func(f *kvtest.Faults) { f.Outage = !f.Outage })
+		sim.store.Change(func(f *kvtest.Faults) { f.Outage = !f.Outage })
 	case 1:
-		w.store.Change(func(f *kvtest.Faults) {
-			f.LoseAnswers, f.LoseRequests, f.HoldRequests = some.Draw(w.t, "answers"), some.Draw(w.t, "requests"), some.Draw(w.t, "held")
+		sim.store.Change(func(f *kvtest.Faults) {
+			f.LoseAnswers, f.LoseRequests, f.HoldRequests = count.Draw(sim.t, "answers"), count.Draw(sim.t, "requests"), count.Draw(sim.t, "held")
 		})
 	case 2:
-		w.store.Release(func(n int) int { return rapid.IntRange(0, n-1).Draw(w.t, "arrives") })
+		sim.store.Release(func(n int) int { return rapid.IntRange(0, n-1).Draw(sim.t, "arrives") })
 	case 3:
-		m.stop()
-		w.vms[i] = w.start()
+		vm.stop()
+		sim.vms[i] = sim.startVM()
 	case 4:
-		pause := time.Duration(rapid.IntRange(1, 60).Draw(w.t, "paused")) * time.Second
-		w.now += pause
+		pause := time.Duration(rapid.IntRange(1, 60).Draw(sim.t, "paused")) * time.Second
+		sim.now += pause
 		// Either clock may be wrong, but not both.
 		if i == 0 {
-			m.paused += pause
+			vm.monoLag += pause
 		} else {
-			m.setBack += pause
+			vm.wallLag += pause
 		}
 	case 5:
-		w.store.Change(func(f *kvtest.Faults) { f.SilentWatch = !f.SilentWatch })
+		sim.store.Change(func(f *kvtest.Faults) { f.SilentWatch = !f.SilentWatch })
 	}
 }
 
-func fleetTrial(t *rapid.T, p planned) error {
+func fleetTrial(t *rapid.T, p plantedFaults) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w := newWorld(t, ctx, p)
+	sim := newSimulation(t, ctx, p)
 	for range rapid.IntRange(1, 50).Draw(t, "steps") {
-		i := rapid.IntRange(0, len(w.vms)-1).Draw(t, "vm")
-		m := w.vms[i]
+		i := rapid.IntRange(0, len(sim.vms)-1).Draw(t, "vm")
+		vm := sim.vms[i]
 		switch rapid.IntRange(0, 9).Draw(t, "step") {
 		case 0, 1:
-			if err := w.apply(m); err != nil {
+			if err := sim.apply(vm); err != nil {
 				return err
 			}
 		case 2:
-			w.withdraw(m)
+			sim.withdraw(vm)
 		case 3:
-			w.hold(m)
+			sim.withdrawLocally(vm)
 		case 4, 5:
-			w.poll(m)
+			sim.poll(vm)
 		case 6:
-			w.watchSome(m)
+			sim.stepWatch(vm)
 		case 7:
-			if err := w.offer(m); err != nil {
+			if err := sim.offer(vm); err != nil {
 				return err
 			}
 		case 8:
-			m.mergeOnce(ctx)
+			vm.mergeOnce(ctx)
 		case 9:
-			w.disturb(i, m)
+			sim.injectDisturbance(i, vm)
 		}
-		if err := w.observe(); err != nil {
+		if err := sim.observe(); err != nil {
 			return err
 		}
-		for _, m := range w.vms {
-			if err := w.check(m); err != nil {
+		for _, vm := range sim.vms {
+			if err := sim.check(vm); err != nil {
 				return err
 			}
 		}
 	}
-	return w.settle()
+	return sim.settle()
 }
 
-// Answers, requests and watch events are lost, late, doubled and out of order;
-// VMs pause, restart and are cut off; operators race. The register and the set
-// of withdrawals hold at every step.
+// Responses, requests and watch events are lost, delayed, duplicated and reordered;
+// VMs pause, restart and are cut off; operators make concurrent changes. The VMs
+// must agree with the register and the set of withdrawals at every step.
 func TestFleetAgreesWithRegisterAndSet(t *testing.T) {
-	rapid.Check(t, func(rt *rapid.T) { require.NoError(rt, fleetTrial(rt, planned{})) })
+	rapid.Check(t, func(rt *rapid.T) { require.NoError(rt, fleetTrial(rt, plantedFaults{})) })
 }
 
-// Each rule of keeper and writer, left out, is noticed by an oracle.
+// The oracles detect the omission of each rule of the syncer and the writer.
 func TestFleetFaultsAreFound(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		faults planned
+		faults plantedFaults
 		seed   int
 	}{
-		{"fresh although behind", planned{keeper: faults{freshWhileBehind: true}}, 1},
-		{"fresh since the answer, not since the question", planned{keeper: faults{freshFromAnswer: true}}, 29},
-		{"forgets withdrawals on apply", planned{writer: writerFaults{forgetWithdrawals: true}}, 1},
-		{"unknown told as a conflict", planned{writer: writerFaults{unknownIsFailure: true}}, 154},
-		{"takes a document from any version", planned{writer: writerFaults{takeAnyBase: true}}, 1},
-		{"reads the monotonic clock only", planned{monoOnly: true}, 218},
+		{"fresh although behind", plantedFaults{syncer: faults{freshWhileBehind: true}}, 1},
+		{"fresh since the answer, not since the question", plantedFaults{syncer: faults{freshFromAnswer: true}}, 29},
+		{"forgets withdrawals on apply", plantedFaults{writer: writerFaults{forgetWithdrawals: true}}, 1},
+		{"unknown told as a conflict", plantedFaults{writer: writerFaults{unknownIsFailure: true}}, 154},
+		{"takes a document from any version", plantedFaults{writer: writerFaults{takeAnyBase: true}}, 1},
+		{"reads the monotonic clock only", plantedFaults{monoOnly: true}, 218},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			require.Equal(t, c.seed, oracle.FirstSeed(2*c.seed+1, func(rt *rapid.T, o require.TestingT) { require.NoError(o, fleetTrial(rt, c.faults)) }))
--- a/internal/configsync/history.go
+++ b/internal/configsync/history.go
@@ -10,9 +10,9 @@
 	"github.com/chestnutarch/chestnutarch/internal/kv"
 )
 
-// keep writes an accepted envelope to its slot of the history. Any number of
-// writers may do so at once; they write the same.
-func (w *Writer) keep(ctx context.Context, e *configstate.Envelope) error {
+// archive writes an accepted envelope to its slot of the history. Any number of
+// writers may do so concurrently, since they write the same envelope.
+func (w *Writer) archive(ctx context.Context, e *configstate.Envelope) error {
 	if e == nil {
 		return nil
 	}
@@ -21,40 +21,41 @@
 	if err != nil && !errors.Is(err, kv.ErrNotFound) {
 		return err
 	}
-	if kept, err := configstate.Decode(entry.Value); err == nil && kept.Version >= e.Version {
+	if archived, err := configstate.Decode(entry.Value); err == nil && archived.Version >= e.Version {
 		return nil
 	}
 	data, err := e.Encode()
 	if err != nil {
 		return err
 	}
-	result, err := kv.Settle(ctx, w.Store, kv.Attempt{Key: key, Expected: entry.Revision, Value: data, Mine: mine(e), Resend: true, Sleep: w.Sleep})
+	result, err := kv.Settle(ctx, w.Store, kv.Attempt{Key: key, Expected: entry.Revision, Value: data, Mine: attemptVerdict(e), Resend: true, Sleep: w.Sleep})
 	if err != nil {
 		return err
 	}
 	if result.Outcome == kv.Unknown {
-		return errors.Wrap(kv.ErrUnavailable, "history not written")
+		return errors.Wrap(kv.ErrUnavailable, "outcome of the write to the history is unknown")
 	}
 	return nil
 }
 
-// Version returns an accepted envelope, from the history or the one accepted
-// now. It returns ErrNotKept for a version that never was or is no longer kept.
+// Version returns the accepted envelope with this version, the current one or one
+// from the history. It returns ErrNotKept for a version that never existed or has
+// been overwritten.
 func (w *Writer) Version(ctx context.Context, version int64) (*configstate.Envelope, error) {
-	now, err := w.load(ctx)
+	current, err := w.load(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if now.envelope != nil && now.envelope.Version == version {
-		return now.envelope, nil
+	if current.envelope != nil && current.envelope.Version == version {
+		return current.envelope, nil
 	}
-	if now.envelope == nil || version < 1 || version > now.envelope.Version {
+	if current.envelope == nil || version < 1 || version > current.envelope.Version {
 		return nil, errors.Wrapf(ErrNotKept, "version %d", version)
 	}
-	return w.kept(ctx, version)
+	return w.archived(ctx, version)
 }
 
-func (w *Writer) kept(ctx context.Context, version int64) (*configstate.Envelope, error) {
+func (w *Writer) archived(ctx context.Context, version int64) (*configstate.Envelope, error) {
 	entry, err := w.Store.Get(ctx, HistoryKey(w.Environment, version))
 	if errors.Is(err, kv.ErrNotFound) {
 		return nil, errors.Wrapf(ErrNotKept, "version %d", version)
@@ -72,17 +73,18 @@
 	return e, nil
 }
 
-// History returns up to limit accepted envelopes, the newest first.
+// History returns up to limit accepted envelopes, newest first.
 func (w *Writer) History(ctx context.Context, limit int) ([]*configstate.Envelope, error) {
-	now, err := w.load(ctx)
-	if err != nil || now.envelope == nil {
+	current, err := w.load(ctx)
+	if err != nil || current.envelope == nil {
 		return nil, err
 	}
-	list := []*configstate.Envelope{now.envelope}
-	for v := now.envelope.Version - 1; v > 0 && len(list) < min(limit, HistorySlots); v-- {
-		e, err := w.kept(ctx, v)
+	list := []*configstate.Envelope{current.envelope}
+	for v := current.envelope.Version - 1; v > 0 && len(list) < min(limit, HistorySlots); v-- {
+		e, err := w.archived(ctx, v)
 		if errors.Is(err, ErrNotKept) {
-			// A service that was set back leaves a gap in the versions.
+			// Restoring the service from an older copy leaves a gap in the
+			// versions.
 			continue
 		}
 		if err != nil {
@@ -93,42 +95,42 @@
 	return list, nil
 }
 
-// Outcome looks for a change whose answer was lost. The change was meant to
-// become the version after baseVersion.
+// Outcome determines the outcome of a change whose response was lost. The change
+// was to become version baseVersion+1.
 func (w *Writer) Outcome(ctx context.Context, c Change, baseVersion int64) (kv.Outcome, *configstate.Envelope, error) {
-	now, err := w.load(ctx)
+	current, err := w.load(ctx)
 	if err != nil {
 		return kv.Unknown, nil, err
 	}
-	return w.outcome(ctx, c, baseVersion, now)
+	return w.outcome(ctx, c, baseVersion, current)
 }
 
-func (w *Writer) outcome(ctx context.Context, c Change, baseVersion int64, now stored) (kv.Outcome, *configstate.Envelope, error) {
+func (w *Writer) outcome(ctx context.Context, c Change, baseVersion int64, current storedEnvelope) (kv.Outcome, *configstate.Envelope, error) {
 	switch {
-	case now.envelope == nil || now.envelope.Version <= baseVersion:
-		// Nothing has moved, so the request may still be on its way.
+	case current.envelope == nil || current.envelope.Version <= baseVersion:
+		// The version has not advanced, so the request may still be in transit.
 		return kv.Unknown, nil, nil
-	case now.envelope.Nonce == c.Nonce:
-		return kv.TookEffect, now.envelope, nil
-	case now.envelope.Version == baseVersion+1:
-		return kv.DidNot, now.envelope, nil
+	case current.envelope.Nonce == c.Nonce:
+		return kv.TookEffect, current.envelope, nil
+	case current.envelope.Version == baseVersion+1:
+		return kv.DidNot, current.envelope, nil
 	}
-	kept, err := w.kept(ctx, baseVersion+1)
+	archived, err := w.archived(ctx, baseVersion+1)
 	if errors.Is(err, ErrNotKept) {
 		return kv.Unknown, nil, nil
 	}
 	if err != nil {
 		return kv.Unknown, nil, err
 	}
-	if kept.Nonce == c.Nonce {
-		return kv.TookEffect, kept, nil
+	if archived.Nonce == c.Nonce {
+		return kv.TookEffect, archived, nil
 	}
-	return kv.DidNot, kept, nil
+	return kv.DidNot, archived, nil
 }
 
-// settleLater looks into the history for a change that later ones have
-// replaced, since the key itself can no longer tell.
-func (w *Writer) settleLater(ctx context.Context, next *configstate.Envelope) (*Accepted, error) {
+// settleFromHistory determines from the history the outcome of a change that may
+// have been replaced by later ones, since the key itself no longer shows it.
+func (w *Writer) settleFromHistory(ctx context.Context, next *configstate.Envelope) (*Accepted, error) {
 	c := Change{ID: next.ChangeID, Nonce: next.Nonce}
 	outcome, e, err := w.Outcome(ctx, c, next.Version-1)
 	switch {
@@ -141,37 +143,37 @@
 	if err != nil {
 		return nil, err
 	}
-	return nil, conflict(e, next.Version-1, doc)
+	return nil, newConflictError(e, next.Version-1, doc)
 }
 
-// repeated finds a change that took effect under an earlier attempt with the
-// same nonce, so that a repeated command changes nothing twice.
-func (w *Writer) repeated(ctx context.Context, c Change, baseVersion int64, now stored) (*Accepted, error) {
-	if now.envelope == nil || now.envelope.Version <= baseVersion {
+// findRepeated returns the accepted change of an earlier attempt with the same
+// nonce, nil if there is none, so that a repeated command is not applied twice.
+func (w *Writer) findRepeated(ctx context.Context, c Change, baseVersion int64, current storedEnvelope) (*Accepted, error) {
+	if current.envelope == nil || current.envelope.Version <= baseVersion {
 		return nil, nil
 	}
-	outcome, e, err := w.outcome(ctx, c, baseVersion, now)
+	outcome, e, err := w.outcome(ctx, c, baseVersion, current)
 	if err != nil || outcome != kv.TookEffect {
 		return nil, err
 	}
 	return &Accepted{Envelope: e}, nil
 }
 
-// Restore writes what is in force here into a service that was set back to an
-// older envelope or to none. It writes nothing if the service holds this version
-// or a later one.
+// Restore writes the envelope in force at this VM to a service that was restored
+// from an older copy and has an older envelope or none. It writes nothing if the
+// service has this version or a later one.
 func (w *Writer) Restore(ctx context.Context) error {
-	now, err := w.load(ctx)
+	current, err := w.load(ctx)
 	if err != nil {
 		return err
 	}
-	here := w.known()
-	if here == nil || now.envelope != nil && now.envelope.Version >= here.Version {
+	local := w.inForce()
+	if local == nil || current.envelope != nil && current.envelope.Version >= local.Version {
 		return nil
 	}
-	_, err = w.swap(ctx, now, w.base(now))
+	_, err = w.compareAndSwap(ctx, current, w.base(current))
 	if errors.Is(err, ErrConflict) {
-		// Another VM has restored it.
+		// Another VM has restored the envelope.
 		return nil
 	}
 	return err
--- a/internal/configsync/keys.go
+++ b/internal/configsync/keys.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// HistorySlots is the number of accepted envelopes that are kept. A slot is
-// used again after that many versions, so that the history of years does not
-// fill the service.
+// HistorySlots is the number of accepted envelopes that the history retains. A
+// slot is overwritten after that many versions, so that the history of years does
+// not fill the service.
 const HistorySlots = 256
 
 // Key returns the key of an environment's accepted configuration.
@@ -12,8 +12,8 @@
 	return fmt.Sprintf("/chestnut/%s/config", environment)
 }
 
-// HistoryKey returns the key that keeps an accepted envelope until the version
-// that is HistorySlots later takes its place.
+// HistoryKey returns the key under which an accepted envelope is retained until
+// the version that is HistorySlots later overwrites it.
 func HistoryKey(environment string, version int64) string {
 	return fmt.Sprintf("/chestnut/%s/history/%d", environment, version%HistorySlots)
 }
--- a/internal/configsync/loops.go
+++ b/internal/configsync/loops.go
@@ -10,24 +10,25 @@
 	"github.com/chestnutarch/chestnutarch/internal/kv"
 )
 
-// firstBackoff is the first pause after a failed call.
-const firstBackoff = 50 * time.Millisecond
+// initialBackoff is the pause after the first failed call.
+const initialBackoff = 50 * time.Millisecond
 
-// mergeCalls is how many calls' time one merge may take.
-const mergeCalls = 5
+// mergeTimeoutCalls is the time limit of a merge or restore, as a multiple of the
+// time limit of one call.
+const mergeTimeoutCalls = 5
 
-// poll reads the revision again and again. A watch that went silent looks like
-// a quiet one; this is what finds it. The answers also prove that the service
-// is heard.
-func (k *Keeper) poll(ctx context.Context) error {
+// poll reads the revision periodically. A watch that has stopped delivering cannot
+// be told from one without changes, so the poll detects it. Its responses also
+// renew the freshness.
+func (s *Keeper) poll(ctx context.Context) error {
 	failures := 0
-	behind := int64(0)
+	awaited := int64(0)
 	for {
 		var ok bool
-		behind, ok = k.pollOnce(ctx, behind)
-		pause := k.pollInterval()
+		awaited, ok = s.pollOnce(ctx, awaited)
+		pause := s.pollInterval()
 		if !ok {
-			pause = k.backoff(failures)
+			pause = s.backoff(failures)
 			failures++
 		} else {
 			failures = 0
@@ -38,129 +39,132 @@
 	}
 }
 
-// pollInterval grows with the fleet, since the service's reads do not. The mean
-// pause is three quarters of the interval, because of the jitter.
-func (k *Keeper) pollInterval() time.Duration {
-	share := time.Duration(k.options.FleetSize()) * time.Second / time.Duration(k.options.FleetPolls)
-	interval := max(k.options.PollInterval, share*4/3)
-	if !k.options.Watches() {
-		interval *= IdlePollFactor
+// pollInterval grows with the fleet, because the read rate that the service
+// permits is fixed. The mean pause is three quarters of the interval because of
+// the jitter.
+func (s *Keeper) pollInterval() time.Duration {
+	fleetInterval := time.Duration(s.options.FleetSize()) * time.Second / time.Duration(s.options.FleetPollsPerSecond)
+	interval := max(s.options.PollInterval, fleetInterval*4/3)
+	if !s.options.Watches() {
+		interval *= NoWatchPollFactor
 	}
 	return interval
 }
 
-// pollOnce returns the revision that the watch has yet to deliver, or zero. A
-// watch that still lacks it one poll later is silent.
-func (k *Keeper) pollOnce(ctx context.Context, behind int64) (int64, bool) {
+// pollOnce returns the revision that the watch has yet to deliver, or zero, and
+// whether the poll succeeded. A watch that has not delivered the revision by the
+// next poll is considered silent.
+func (s *Keeper) pollOnce(ctx context.Context, awaited int64) (int64, bool) {
 	var before int64
-	if err := k.do(ctx, func() { before = k.revision }); err != nil {
-		return behind, false
+	if err := s.runOnOwner(ctx, func() { before = s.revision }); err != nil {
+		return awaited, false
 	}
-	sent := k.options.Clock()
-	call, cancel := context.WithTimeout(ctx, k.options.CallTimeout)
+	sent := s.options.Clock()
+	call, cancel := context.WithTimeout(ctx, s.options.CallTimeout)
 	defer cancel()
-	revision, err := k.options.Store.Revision(call, k.key)
+	revision, err := s.options.Store.Revision(call, s.key)
 	if err != nil {
-		k.count("config.poll_failures")
-		return behind, false
+		s.count("config.poll_failures")
+		return awaited, false
 	}
-	if k.faults.freshFromAnswer {
-		sent = k.options.Clock()
+	if s.faults.freshFromAnswer {
+		sent = s.options.Clock()
 	}
-	var known int64
-	err = k.do(ctx, func() {
-		known = k.revision
-		// An answer that shows this VM to be behind proves the opposite of
-		// freshness. Counted as freshness, a VM that can poll but cannot read
-		// the value would serve withdrawn keys for ever.
-		if before <= revision && revision <= known || k.faults.freshWhileBehind {
-			fresh := configstate.UpToDate(sent, k.options.FreshFor)
-			k.freshness.Store(&fresh)
+	var applied int64
+	err = s.runOnOwner(ctx, func() {
+		applied = s.revision
+		// A response that shows this VM to be behind must not renew the
+		// freshness. Otherwise a VM that can poll but cannot read the value
+		// would serve withdrawn keys forever.
+		if before <= revision && revision <= applied || s.faults.freshWhileBehind {
+			fresh := configstate.NewFreshness(sent, s.options.FreshFor)
+			s.freshness.Store(&fresh)
 		}
 	})
 	switch {
 	case err != nil:
-		return behind, false
+		return awaited, false
 	case revision < before:
-		return 0, k.setBack(ctx) == nil
-	case revision <= known:
+		return 0, s.recoverFromRollback(ctx) == nil
+	case revision <= applied:
 		return 0, true
-	case known == 0:
-		// With nothing known yet there is nothing to wait for.
-		return 0, k.read(ctx, "poll") == nil
-	case known < behind:
-		k.count("config.silent_watches")
-		signal(k.reopen)
-		return 0, k.read(ctx, "poll") == nil
+	case applied == 0:
+		// There is no configuration yet, so do not wait for the watch.
+		return 0, s.read(ctx, "poll") == nil
+	case applied < awaited:
+		s.count("config.silent_watches")
+		signal(s.reopenWatch)
+		return 0, s.read(ctx, "poll") == nil
 	}
 	return revision, true
 }
 
-// setBack starts anew with a service whose revisions have gone back, because it
-// was restored from an older copy. Compared with what was read before, all that
-// is accepted from now on would look old. What is in force here is offered to
-// the service again: without that, a VM that starts would revert to the copy.
-func (k *Keeper) setBack(ctx context.Context) error {
-	k.count("config.service_set_back")
-	k.options.Log.Error().Msg("the key-value service was set back to an older state")
-	err := k.do(ctx, func() {
-		k.revision = kv.RevisionAbsent
-		k.stored = nil
+// recoverFromRollback resets the known revision after the revisions of the service
+// went back, because it was restored from an older copy. Compared with the old
+// revision, everything accepted from now on would look outdated. The configuration
+// in force here is written to the service again: otherwise a VM that starts would
+// revert to the copy.
+func (s *Keeper) recoverFromRollback(ctx context.Context) error {
+	s.count("config.service_set_back")
+	s.options.Log.Error().Msg("revision of the key-value service went back; restoring the configuration in force there")
+	err := s.runOnOwner(ctx, func() {
+		s.revision = kv.RevisionAbsent
+		s.stored = nil
 	})
 	if err != nil {
 		return err
 	}
-	call, cancel := context.WithTimeout(kv.WithPriority(ctx, kv.PriorityClaim), mergeCalls*k.options.CallTimeout)
+	call, cancel := context.WithTimeout(kv.WithPriority(ctx, kv.PriorityClaim), mergeTimeoutCalls*s.options.CallTimeout)
 	defer cancel()
-	if err := k.Writer().Restore(call); err != nil {
+	if err := s.Writer().Restore(call); err != nil {
 		return err
 	}
-	signal(k.reopen)
-	return k.read(ctx, "poll")
+	signal(s.reopenWatch)
+	return s.read(ctx, "poll")
 }
 
-// read takes the stored envelope. It takes as long as its size asks for; the store ends a call
-// that goes silent.
-func (k *Keeper) read(ctx context.Context, source string) error {
-	entry, err := k.options.Store.Get(ctx, k.key)
+// read reads the stored envelope and applies it. It sets no time limit, because the
+// duration depends on the size of the envelope; the store ends a call that stalls.
+func (s *Keeper) read(ctx context.Context, source string) error {
+	entry, err := s.options.Store.Get(ctx, s.key)
 	if errors.Is(err, kv.ErrNotFound) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	return k.takeEntry(ctx, entry, source)
+	return s.applyEntry(ctx, entry, source)
 }
 
-func (k *Keeper) takeEntry(ctx context.Context, entry kv.Entry, source string) error {
+func (s *Keeper) applyEntry(ctx context.Context, entry kv.Entry, source string) error {
 	if entry.Value == nil {
-		k.options.Log.Error().Str("key", k.key).Msg("configuration deleted from the service; what is in force goes on")
+		s.options.Log.Error().Str("key", s.key).Msg("configuration deleted from the key-value service; keeping the configuration in force")
 		return nil
 	}
 	e, err := configstate.Decode(entry.Value)
 	if err != nil {
-		k.count("config.refused")
-		k.options.Log.Error().Err(err).Msg("the service holds no usable envelope")
-		return k.do(ctx, func() { k.revision = max(k.revision, entry.Revision) })
+		s.count("config.refused")
+		s.options.Log.Error().Err(err).Msg("cannot decode the envelope in the key-value service; keeping the configuration in force")
+		return s.runOnOwner(ctx, func() { s.revision = max(s.revision, entry.Revision) })
 	}
-	return k.do(ctx, func() { k.takeStored(e, entry.Revision, source) })
+	return s.runOnOwner(ctx, func() { s.applyStored(e, entry.Revision, source) })
 }
 
-// watch keeps one watch open and takes what it delivers.
-func (k *Keeper) watch(ctx context.Context) error {
+// watch keeps one watch open and applies the entries that it delivers.
+func (s *Keeper) watch(ctx context.Context) error {
 	failures := 0
 	for ctx.Err() == nil {
-		if !k.options.Watches() {
-			if !sleep(ctx, kv.Jitter(k.options.PollInterval)) {
+		if !s.options.Watches() {
+			if !sleep(ctx, kv.Jitter(s.options.PollInterval)) {
 				return nil
 			}
 			continue
 		}
-		delivered, err := k.watchOnce(ctx)
+		delivered, err := s.watchOnce(ctx)
 		if err == nil || delivered {
 			failures = 0
 		}
-		if !sleep(ctx, kv.Jitter(k.backoff(failures))) {
+		if !sleep(ctx, kv.Jitter(s.backoff(failures))) {
 			return nil
 		}
 		failures++
@@ -168,25 +172,25 @@
 	return nil
 }
 
-// watchOnce returns when the watch breaks or was found silent. It reports
-// whether anything was delivered.
-func (k *Keeper) watchOnce(ctx context.Context) (delivered bool, err error) {
+// watchOnce runs one watch until it breaks, was found silent or is no longer
+// wanted. It reports whether the watch delivered anything or ended on request.
+func (s *Keeper) watchOnce(ctx context.Context) (delivered bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var after int64
-	if err := k.do(ctx, func() { after = k.revision }); err != nil {
+	if err := s.runOnOwner(ctx, func() { after = s.revision }); err != nil {
 		return false, err
 	}
-	entries, err := k.options.Store.Watch(ctx, k.key, after)
+	entries, err := s.options.Store.Watch(ctx, s.key, after)
 	if err != nil {
 		return false, err
 	}
-	still := time.NewTicker(k.options.PollInterval)
-	defer still.Stop()
+	watchCheck := time.NewTicker(s.options.PollInterval)
+	defer watchCheck.Stop()
 	for {
 		select {
-		case <-still.C:
-			if !k.options.Watches() {
+		case <-watchCheck.C:
+			if !s.options.Watches() {
 				return true, nil
 			}
 		case entry, open := <-entries:
@@ -194,55 +198,55 @@
 				return delivered, kv.ErrUnavailable
 			}
 			delivered = true
-			if err := k.takeEntry(ctx, entry, "watch"); err != nil {
+			if err := s.applyEntry(ctx, entry, "watch"); err != nil {
 				return delivered, err
 			}
-		case <-k.reopen:
+		case <-s.reopenWatch:
 			return true, nil
 		}
 	}
 }
 
-// backoff returns the pause after a number of failures in a row.
-func (k *Keeper) backoff(failures int) time.Duration {
-	pause := firstBackoff
+// backoff returns the pause after a number of consecutive failures.
+func (s *Keeper) backoff(failures int) time.Duration {
+	pause := initialBackoff
 	for range failures {
-		pause = min(2*pause, k.options.MaxBackoff)
+		pause = min(2*pause, s.options.MaxBackoff)
 	}
-	return min(pause, k.options.MaxBackoff)
+	return min(pause, s.options.MaxBackoff)
 }
 
-// mergeLoop makes pending withdrawals durable as soon as the service lets it.
-func (k *Keeper) mergeLoop(ctx context.Context) error {
+// mergeLoop writes pending withdrawals to the service as soon as it is available.
+func (s *Keeper) mergeLoop(ctx context.Context) error {
 	failures := 0
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-k.merge:
+		case <-s.mergeRequested:
 		}
-		// Every VM that holds the withdrawal tries. The pause gives the VM that
-		// the operator asked the time to write it, and the others the time to
-		// see that it is done.
-		if !sleep(ctx, kv.Jitter(k.options.PollInterval+k.backoff(failures))) {
+		// Every VM that has the withdrawal tries to write it. The pause gives the
+		// VM that received the operator's command time to write it, and the other
+		// VMs time to see the result.
+		if !sleep(ctx, kv.Jitter(s.options.PollInterval+s.backoff(failures))) {
 			return nil
 		}
 		failures++
-		if k.mergeOnce(ctx) {
+		if s.mergeOnce(ctx) {
 			failures = 0
 			continue
 		}
-		signal(k.merge)
+		signal(s.mergeRequested)
 	}
 }
 
-// mergeOnce reports whether the service holds every withdrawal that this VM
-// knows of.
-func (k *Keeper) mergeOnce(ctx context.Context) bool {
+// mergeOnce writes the pending withdrawals to the service. It reports whether the
+// service has every withdrawal of this VM.
+func (s *Keeper) mergeOnce(ctx context.Context) bool {
 	var digests []string
-	err := k.do(ctx, func() {
-		if e := k.state.Envelope(); e != nil {
-			digests = k.state.Pending(k.stored)
+	err := s.runOnOwner(ctx, func() {
+		if e := s.state.Envelope(); e != nil {
+			digests = s.state.Pending(s.stored)
 		}
 	})
 	if err != nil {
@@ -251,19 +255,19 @@
 	if len(digests) == 0 {
 		return true
 	}
-	call, cancel := context.WithTimeout(kv.WithPriority(ctx, kv.PriorityClaim), mergeCalls*k.options.CallTimeout)
+	call, cancel := context.WithTimeout(kv.WithPriority(ctx, kv.PriorityClaim), mergeTimeoutCalls*s.options.CallTimeout)
 	defer cancel()
-	if _, err := k.Writer().Withdraw(call, Change{ID: "merge-" + newID(), Author: "chestnut-entry"}, digests); err != nil {
-		k.count("config.merge_failures")
+	if _, err := s.Writer().Withdraw(call, Change{ID: "merge-" + newID(), Author: "chestnut-entry"}, digests); err != nil {
+		s.count("config.merge_failures")
 		return false
 	}
-	k.count("config.merges")
-	// Another VM may have been first. Nothing was written through this one
-	// then, and the pending count falls only with what the service holds.
-	return k.read(ctx, "merge") == nil
+	s.count("config.merges")
+	// If another VM was first, nothing was written here and the pending count is
+	// still the old one. Reading the stored envelope updates it.
+	return s.read(ctx, "merge") == nil
 }
 
-// sleep waits and reports whether ctx is still alive.
+// sleep waits for d or the end of ctx, and reports whether ctx is still active.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/configsync/measure/world.go
+++ b/internal/configsync/measure/fixture.go
@@ -11,8 +11,8 @@
 
 const environment = "measure"
 
-// document returns a document of a size given by its keys, whose rate is drawn
-// from n so that each is another one.
+// document returns a document with the given number of keys and rate n, so that
+// documents with different n differ.
 func document(keys, n int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "environment: %s\nfailure_domains: [a]\nteams:\n- name: t\n  rate: %d\n  burst: 10\n  keys:\n", environment, n)
@@ -22,14 +22,14 @@
 	return b.String()
 }
 
-// countingListener counts the bytes that the service's connections carry, both
-// ways.
+// countingListener counts the bytes that the service's connections transfer in both
+// directions.
 type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
-// Accept wraps each connection.
+// Accept accepts a connection and wraps it in a countingConn.
 func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -43,14 +43,14 @@
 	bytes *atomic.Int64
 }
 
-// Read counts what arrives.
+// Read counts the bytes read.
 func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write counts what leaves.
+// Write counts the bytes written.
 func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
--- a/internal/configsync/measure/main.go
+++ b/internal/configsync/measure/main.go
@@ -1,6 +1,7 @@
-// Command measure runs keepers of one process over the stand-in of the key-value
-// service, changes the configuration and withdraws keys, and prints how long it
-// takes until each change is in force at every VM and what that costs.
+// Command measure runs the configuration syncers of a fleet in one process with the
+// stand-in of the key-value service, changes the configuration and withdraws keys.
+// It prints how long it takes until each change is in force at every VM and what
+// that costs.
 //
 //	go run ./internal/configsync/measure -vms 7 -changes 200
 package main
@@ -28,59 +29,60 @@
 	"github.com/chestnutarch/chestnutarch/internal/standin"
 )
 
-// ErrNotInForce means that a change was not in force everywhere in time.
-var ErrNotInForce = errors.New("measure: not in force in time")
+// ErrNotInForce means that a change was not in force at every VM within
+// changeTimeout.
+var ErrNotInForce = errors.New("measure: change not in force at every VM in time")
 
-// patience bounds the wait for one change.
-const patience = 30 * time.Second
+// changeTimeout is the time limit until a change is in force at every VM.
+const changeTimeout = 30 * time.Second
 
 type options struct {
-	vms     int
-	silent  int
-	changes int
-	every   time.Duration
-	poll    time.Duration
-	keys    int
-	latency time.Duration
+	vms           int
+	silentWatches int
+	changes       int
+	interval      time.Duration
+	pollInterval  time.Duration
+	keys          int
+	latency       time.Duration
 }
 
 func main() {
 	var o options
-	flag.IntVar(&o.vms, "vms", 7, "number of keepers")
-	flag.IntVar(&o.silent, "silent", 0, "how many of them have watches that deliver nothing")
-	flag.IntVar(&o.changes, "changes", 200, "number of changes, every other one a withdrawal")
-	flag.DurationVar(&o.every, "every", 100*time.Millisecond, "time from one change to the next")
-	flag.DurationVar(&o.poll, "poll", configsync.DefaultPollInterval, "poll interval")
+	flag.IntVar(&o.vms, "vms", 7, "number of VMs")
+	flag.IntVar(&o.silentWatches, "silent", 0, "number of VMs whose watches deliver nothing")
+	flag.IntVar(&o.changes, "changes", 200, "number of changes; every second one is a withdrawal")
+	flag.DurationVar(&o.interval, "every", 100*time.Millisecond, "interval between changes")
+	flag.DurationVar(&o.pollInterval, "poll", configsync.DefaultPollInterval, "poll interval")
 	flag.IntVar(&o.keys, "keys", 150, "number of keys in the document, about 100 bytes each")
-	flag.DurationVar(&o.latency, "latency", 2*time.Millisecond, "the service's latency")
-	servers := flag.String("servers", "", "operators' addresses of running entry VMs, to measure those instead; the key is in CHESTNUT_OPERATOR_KEY")
-	plain := flag.Bool("loop", false, "step state machines by a plain loop, with changes spread over peers")
+	flag.DurationVar(&o.latency, "latency", 2*time.Millisecond, "latency of the key-value service")
+	servers := flag.String("servers", "", "measure running entry VMs instead: comma-separated addresses of their operator servers; the key is read from CHESTNUT_OPERATOR_KEY")
+	simulate := flag.Bool("loop", false, "step the state machines in a simulation, with changes spread between peers")
 	flag.Parse()
-	measured := func(ctx context.Context) error { return run(ctx, o) }
-	if *plain {
-		measured = func(ctx context.Context) error { return runLoop(ctx, o) }
+	measurement := func(ctx context.Context) error { return run(ctx, o) }
+	if *simulate {
+		measurement = func(ctx context.Context) error { return runSimulation(ctx, o) }
 	}
 	if *servers != "" {
-		measured = newProcesses(*servers, o).run
+		measurement = newProcesses(*servers, o).run
 	}
-	if err := measured(context.Background()); err != nil {
+	if err := measurement(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// bench is a running fleet.
-type bench struct {
+// benchmark is a running fleet with its key-value service.
+type benchmark struct {
 	options
 	service  *standin.KV
 	bytes    atomic.Int64
-	keepers  []*configsync.Keeper
+	syncers  []*configsync.Keeper
 	stores   []*kv.HTTP
 	registry []metrics.Registry
 }
 
 func run(ctx context.Context, o options) error {
-	b := &bench{options: o, service: standin.NewKV(standin.KVOptions{Latency: o.latency})}
+	b := &benchmark{options: o, service: standin.NewKV(standin.KVOptions{Latency: o.latency})}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return errors.Wrap(err, "listen")
@@ -94,15 +96,15 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	group, ctx := errgroup.WithContext(ctx)
-	for _, k := range b.keepers {
-		group.Go(func() error { return k.Run(ctx) })
+	for _, syncer := range b.syncers {
+		group.Go(func() error { return syncer.Run(ctx) })
 	}
 	err = b.measure(ctx)
 	cancel()
-	return errors.Wrap(first(err, group.Wait()), "run")
+	return errors.Wrap(firstError(err, group.Wait()), "run")
 }
 
-func first(errs ...error) error {
+func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -111,7 +113,7 @@
 	return nil
 }
 
-func (b *bench) build(url string) error {
+func (b *benchmark) build(url string) error {
 	for i := range b.vms {
 		registry := metrics.NewRegistry()
 		client, err := kv.NewHTTP(kv.Options{URLs: []string{url}, Metrics: registry})
@@ -119,24 +121,24 @@
 			return err
 		}
 		var store kv.Store = client
-		if i < b.silent {
-			store = silent{client}
+		if i < b.silentWatches {
+			store = silentWatchStore{client}
 		}
 		b.stores = append(b.stores, client)
 		b.registry = append(b.registry, registry)
-		b.keepers = append(b.keepers, configsync.NewKeeper(configsync.Options{
-			Store: store, Environment: environment, PollInterval: b.poll, Metrics: registry,
+		b.syncers = append(b.syncers, configsync.NewKeeper(configsync.Options{
+			Store: store, Environment: environment, PollInterval: b.pollInterval, Metrics: registry,
 			FleetSize: func() int { return b.vms },
 		}))
 	}
 	return nil
 }
 
-// silent is a store whose watches never deliver.
-type silent struct{ *kv.HTTP }
+// silentWatchStore is a store whose watches deliver nothing.
+type silentWatchStore struct{ *kv.HTTP }
 
-// Watch opens a watch and swallows what it delivers.
-func (s silent) Watch(ctx context.Context, key string, after int64) (<-chan kv.Entry, error) {
+// Watch opens a watch and discards its entries.
+func (s silentWatchStore) Watch(ctx context.Context, key string, after int64) (<-chan kv.Entry, error) {
 	entries, err := s.HTTP.Watch(ctx, key, after)
 	if err != nil {
 		return nil, err
@@ -150,8 +152,8 @@
 	return nothing, nil
 }
 
-// measure makes the changes and prints the figures.
-func (b *bench) measure(ctx context.Context) error {
+// measure makes the changes and prints the results.
+func (b *benchmark) measure(ctx context.Context) error {
 	writer := &configsync.Writer{Store: b.stores[len(b.stores)-1], Environment: environment}
 	text := document(b.keys, 1)
 	accepted, err := writer.Apply(ctx, configsync.Change{ID: "first"}, 0, text)
@@ -164,7 +166,7 @@
 	before := b.usage()
 	withdrawals, documents := newHistogram(), newHistogram()
 	version := accepted.Envelope.Version
-	ticker := time.NewTicker(b.every)
+	ticker := time.NewTicker(b.interval)
 	defer ticker.Stop()
 	for i := range b.changes {
 		start := time.Now()
@@ -192,13 +194,14 @@
 	return nil
 }
 
-// wait returns when every keeper has the version in force.
-func (b *bench) wait(ctx context.Context, version int64) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// wait returns when every VM has the version in force, or ErrNotInForce after
+// changeTimeout.
+func (b *benchmark) wait(ctx context.Context, version int64) error {
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	for _, k := range b.keepers {
+	for _, syncer := range b.syncers {
 		for {
-			if s := k.Snapshot(); s != nil && s.Version >= version {
+			if s := syncer.Snapshot(); s != nil && s.Version >= version {
 				break
 			}
 			if ctx.Err() != nil {
@@ -210,7 +213,7 @@
 	return nil
 }
 
-// usage is what has been used up to a moment.
+// usage is the resource usage up to a point in time.
 type usage struct {
 	at    time.Time
 	cpu   time.Duration
@@ -218,7 +221,7 @@
 	calls map[string]int64
 }
 
-func (b *bench) usage() usage {
+func (b *benchmark) usage() usage {
 	var r syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	u := usage{at: time.Now(), bytes: b.bytes.Load(), calls: make(map[string]int64)}
@@ -243,11 +246,11 @@
 	return u
 }
 
-func (b *bench) print(withdrawals, documents *hdrhistogram.Histogram, u usage, size int) {
+func (b *benchmark) print(withdrawals, documents *hdrhistogram.Histogram, u usage, size int) {
 	seconds := u.at.Sub(time.Time{}).Seconds()
 	perVM := 1 / seconds / float64(b.vms)
 	fmt.Printf("%d VMs, %d with silent watches, document %d bytes, service latency %s, poll %s, %.1f changes/s\n",
-		b.vms, b.silent, size, b.latency, b.poll, float64(b.changes)/seconds)
+		b.vms, b.silentWatches, size, b.latency, b.pollInterval, float64(b.changes)/seconds)
 	printRow("withdrawal in force everywhere", withdrawals)
 	printRow("document in force everywhere", documents)
 	for _, kind := range []string{"get", "revision", "cas", "watch"} {
--- a/internal/configsync/measure/processes.go
+++ b/internal/configsync/measure/processes.go
@@ -16,18 +16,19 @@
 	"github.com/chestnutarch/chestnutarch/internal/operator"
 )
 
-// askEvery is the time between two questions to one VM.
-const askEvery = time.Millisecond
+// inForcePollInterval is the time between two queries of the version in force at
+// one VM.
+const inForcePollInterval = time.Millisecond
 
-// processes are running entry VMs, asked through the operators' API.
+// processes are running entry VMs, accessed through the operators' API.
 type processes struct {
-	clients []*operator.Client
-	changes int
-	every   time.Duration
+	clients  []*operator.Client
+	changes  int
+	interval time.Duration
 }
 
 func newProcesses(servers string, o options) *processes {
-	p := &processes{changes: o.changes, every: o.every}
+	p := &processes{changes: o.changes, interval: o.interval}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}}
 	for server := range strings.SplitSeq(servers, ",") {
 		p.clients = append(p.clients, &operator.Client{Server: server, Key: os.Getenv("CHESTNUT_OPERATOR_KEY"), HTTP: client})
@@ -35,8 +36,8 @@
 	return p
 }
 
-// run makes changes through the VMs in turn, as operators do, and times each
-// until every VM has it in force.
+// run makes changes through the VMs in turn, as operators do, and measures the time
+// until each change is in force at every VM.
 func (p *processes) run(ctx context.Context) error {
 	config, err := p.clients[0].Config(ctx)
 	if err != nil {
@@ -45,17 +46,17 @@
 	base := config.Document
 	version := config.Version
 	withdrawals, documents := newHistogram(), newHistogram()
-	ticker := time.NewTicker(p.every)
+	ticker := time.NewTicker(p.interval)
 	defer ticker.Stop()
 	for i := range p.changes {
-		through := p.clients[i%len(p.clients)]
+		target := p.clients[i%len(p.clients)]
 		start := time.Now()
 		histogram := documents
 		if i%2 == 0 {
-			version, err = p.apply(ctx, through, version, fmt.Sprintf("%s# change %d\n", base, i))
+			version, err = p.apply(ctx, target, version, fmt.Sprintf("%s# change %d\n", base, i))
 		} else {
 			histogram = withdrawals
-			version, err = p.withdraw(ctx, through)
+			version, err = p.withdraw(ctx, target)
 		}
 		if err != nil {
 			return err
@@ -97,9 +98,10 @@
 	return answer.Version, nil
 }
 
-// wait returns when every VM says that it has the version in force.
+// wait returns when every VM reports the version as in force, or ErrNotInForce after
+// changeTimeout.
 func (p *processes) wait(ctx context.Context, version int64) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
 	for _, c := range p.clients {
@@ -112,7 +114,7 @@
 				if ctx.Err() != nil {
 					return errors.Wrap(ErrNotInForce, c.Server)
 				}
-				time.Sleep(askEvery)
+				time.Sleep(inForcePollInterval)
 			}
 		})
 	}
--- a/internal/configsync/options.go
+++ b/internal/configsync/options.go
@@ -14,59 +14,60 @@
 
 // Defaults of Options.
 const (
-	DefaultPollInterval = 500 * time.Millisecond
-	DefaultFleetPolls   = 200
-	DefaultCallTimeout  = time.Second
-	DefaultMaxBackoff   = 2 * time.Second
-	// IdlePollFactor is how much less often a VM polls that keeps no watch.
-	IdlePollFactor = 10
+	DefaultPollInterval        = 500 * time.Millisecond
+	DefaultFleetPollsPerSecond = 200
+	DefaultCallTimeout         = time.Second
+	DefaultMaxBackoff          = 2 * time.Second
+	// NoWatchPollFactor multiplies the poll interval of a VM without a watch.
+	NoWatchPollFactor = 10
 )
 
 // Options configures a Keeper.
 type Options struct {
 	// Store is the key-value service.
 	Store kv.Store
-	// Environment names the configuration to keep.
+	// Environment names the environment whose configuration is synchronized.
 	Environment string
-	// Clock reads both clocks. The default is clock.System.
+	// Clock reads the monotonic and the wall clock. The default is clock.System.
 	Clock clock.Func
-	// PollInterval is the time between two polls of the revision. A watch
-	// that went silent is found within two of them. The default is 500ms.
+	// PollInterval is the time between two polls of the revision. A watch that
+	// has stopped delivering is detected within two of them. The default is
+	// 500ms.
 	PollInterval time.Duration
-	// FleetSize returns the number of VMs that poll the same service. Each polls
-	// less often as they become more, so that together they stay below
-	// FleetPolls a second. The default is one.
+	// FleetSize returns the number of VMs that poll the same service. The more
+	// there are, the less often each of them polls, so that together they stay
+	// below FleetPollsPerSecond. The default is one.
 	FleetSize func() int
-	// FleetPolls is the number of polls a second of all VMs together, a tenth
-	// of the reads that the platform gives. The default is 200.
-	FleetPolls int
-	// Watches reports whether this VM keeps a watch open. In a large fleet a
-	// few do in each failure domain, and the others have changes from their
-	// peers and poll IdlePollFactor times less often. The default is always.
+	// FleetPollsPerSecond is the poll rate of all VMs together, a tenth of the
+	// reads per second that the platform provides. The default is 200.
+	FleetPollsPerSecond int
+	// Watches reports whether this VM keeps a watch open. In a large fleet only a
+	// few VMs of each failure domain do; the others receive changes from their
+	// peers and poll NoWatchPollFactor times less often. The default is always.
 	Watches func() bool
-	// CallTimeout bounds one call. The default is 1s.
+	// CallTimeout is the time limit of one call. The default is 1s.
 	CallTimeout time.Duration
-	// MaxBackoff bounds the pause between calls during an outage, and with it
-	// how soon the end of the outage is noticed. The default is 2s.
+	// MaxBackoff is the maximum pause between calls during an outage, and thus
+	// bounds the delay until the end of the outage is detected. The default is 2s.
 	MaxBackoff time.Duration
-	// FreshFor is how long the VM takes work after it last heard the service.
-	// The default is configstate.DefaultFreshFor.
+	// FreshFor is how long the VM accepts work after the last read of the service
+	// that showed its configuration to be up to date. The default is
+	// configstate.DefaultFreshFor.
 	FreshFor time.Duration
-	// HearsPeers reports whether this VM hears more than half of the VMs that
-	// it last knew. With the service down, work goes on as long as it does. The
-	// default is never.
+	// HearsPeers reports whether this VM receives heartbeats from more than half
+	// of the VMs of its last known fleet. While the service is down, the VM accepts
+	// work as long as this is true. The default is never.
 	HearsPeers func() bool
-	// Sleep waits between two looks at a write whose outcome is unknown, as in
-	// kv.Attempt. The default waits for real.
+	// Sleep waits between two attempts to determine the outcome of a write, as in
+	// kv.Attempt. The default uses real time.
 	Sleep func(ctx context.Context, d time.Duration) bool
 	// Log receives one event per change and per fault.
 	Log zerolog.Logger
-	// Metrics receives the counters config.*. The default is a registry of
-	// its own.
+	// Metrics receives the metrics config.*. The default is a new registry.
 	Metrics metrics.Registry
 }
 
-func (o *Options) provision() {
+func (o *Options) applyDefaults() {
 	if o.Clock == nil {
 		o.Clock = clock.System()
 	}
@@ -79,8 +80,8 @@
 	if o.Watches == nil {
 		o.Watches = func() bool { return true }
 	}
-	if o.FleetPolls <= 0 {
-		o.FleetPolls = DefaultFleetPolls
+	if o.FleetPollsPerSecond <= 0 {
+		o.FleetPollsPerSecond = DefaultFleetPollsPerSecond
 	}
 	if o.CallTimeout <= 0 {
 		o.CallTimeout = DefaultCallTimeout
--- a/internal/configsync/writer.go
+++ b/internal/configsync/writer.go
@@ -15,19 +15,19 @@
 	"github.com/chestnutarch/chestnutarch/internal/placement"
 )
 
-// Change says who asks for a change and which one.
+// Change identifies a change and its author.
 type Change struct {
-	// ID names the change. A repeated command carries the same one.
+	// ID identifies the change. A repeated command has the same ID.
 	ID string
-	// Nonce is unique to the change and secret to nobody. A command that
-	// repeats a change whose outcome was unknown carries the same one. The
-	// default is a new one.
+	// Nonce is unique to the change and not secret. A command that repeats a
+	// change whose outcome was unknown has the same nonce. The default is a new
+	// UUID.
 	Nonce string
-	// Author says who asks.
+	// Author names who requested the change.
 	Author string
 }
 
-func (c *Change) provision() {
+func (c *Change) applyDefaults() {
 	if c.Nonce == "" {
 		c.Nonce = newID()
 	}
@@ -37,7 +37,8 @@
 type Accepted struct {
 	// Envelope is what was accepted.
 	Envelope *configstate.Envelope
-	// Revision is the key's, zero if a later envelope has replaced it.
+	// Revision is the revision of the key, zero if a later envelope has replaced
+	// this one.
 	Revision int64
 }
 
@@ -47,57 +48,58 @@
 	Store kv.Store
 	// Environment names the configuration.
 	Environment string
-	// Known returns the envelope in force at this VM, nil if there is none.
-	Known func() *configstate.Envelope
-	// Now is the wall clock for AcceptedAt. The default is time.Now.
+	// InForce returns the envelope in force at this VM, nil if there is none. The
+	// default is none.
+	InForce func() *configstate.Envelope
+	// Now reads the wall clock for AcceptedAt. The default is time.Now in UTC.
 	Now func() time.Time
 	// Accepted, if set, is called with each change that this writer is known to
-	// have made, before the operator is told.
+	// have written, before the method that wrote it returns.
 	Accepted func(ctx context.Context, accepted *Accepted)
-	// Sleep is kv.Attempt's.
+	// Sleep is passed to kv.Attempt.
 	Sleep func(ctx context.Context, d time.Duration) bool
 
 	faults writerFaults
 }
 
-// writerFaults switch off single rules in tests, which show that the oracle
-// notices.
+// writerFaults disables single rules in tests that check whether the oracle
+// detects it.
 type writerFaults struct {
 	forgetWithdrawals bool
 	unknownIsFailure  bool
 	takeAnyBase       bool
 }
 
-// Writer returns a writer that never falls behind what this keeper has in force
-// and carries the withdrawals known here.
-func (k *Keeper) Writer() *Writer {
+// Writer returns a writer whose versions are always newer than the one in force
+// here, and whose envelopes contain the withdrawals of this VM.
+func (s *Keeper) Writer() *Writer {
 	return &Writer{
-		Store:       k.options.Store,
-		Environment: k.options.Environment,
-		Known:       k.known,
-		Accepted:    k.accepted,
-		Sleep:       k.options.Sleep,
+		Store:       s.options.Store,
+		Environment: s.options.Environment,
+		InForce:     s.inForce,
+		Accepted:    s.applyAccepted,
+		Sleep:       s.options.Sleep,
 	}
 }
 
-// accepted puts a change that was made through this VM in force here, so that
-// peers can have it from this VM before any watch has delivered it.
-func (k *Keeper) accepted(ctx context.Context, a *Accepted) {
-	_ = k.do(ctx, func() { k.takeStored(a.Envelope, a.Revision, "writer") })
+// applyAccepted puts a change that was written through this VM in force here, so
+// that peers can get it from this VM before a watch has delivered it.
+func (s *Keeper) applyAccepted(ctx context.Context, a *Accepted) {
+	_ = s.runOnOwner(ctx, func() { s.applyStored(a.Envelope, a.Revision, "writer") })
 }
 
-func (k *Keeper) known() *configstate.Envelope { return k.published.Load().envelope }
+func (s *Keeper) inForce() *configstate.Envelope { return s.published.Load().envelope }
 
 func newID() string { return uuid.NewString() }
 
-// stored is what the service holds. The envelope is nil if it holds nothing
-// that can be used.
-type stored struct {
+// storedEnvelope is the envelope in the service with its revision. The envelope is
+// nil if the service has none.
+type storedEnvelope struct {
 	envelope *configstate.Envelope
 	revision int64
 }
 
-// Current reads the accepted envelope, nil if there is none.
+// Current reads the accepted envelope from the service, nil if there is none.
 func (w *Writer) Current(ctx context.Context) (*configstate.Envelope, error) {
 	s, err := w.load(ctx)
 	if err != nil {
@@ -106,79 +108,81 @@
 	return s.envelope, nil
 }
 
-func (w *Writer) load(ctx context.Context) (stored, error) {
+func (w *Writer) load(ctx context.Context) (storedEnvelope, error) {
 	entry, err := w.Store.Get(ctx, Key(w.Environment))
 	if errors.Is(err, kv.ErrNotFound) {
-		return stored{}, nil
+		return storedEnvelope{}, nil
 	}
 	if err != nil {
-		return stored{}, err
+		return storedEnvelope{}, err
 	}
 	e, err := configstate.Decode(entry.Value)
 	if err != nil {
-		return stored{}, err
+		return storedEnvelope{}, err
 	}
-	return stored{envelope: e, revision: entry.Revision}, nil
+	return storedEnvelope{envelope: e, revision: entry.Revision}, nil
 }
 
-// base returns what a change builds on: the stored envelope, or the one in
-// force here if the service was set back to an older one, with the withdrawals
-// of both. A version below the one in force would be accepted and then ignored
-// by every VM.
-func (w *Writer) base(s stored) *configstate.Envelope {
+// base returns the envelope that a change builds on: the stored one, or the one in
+// force here if the service was restored from an older copy, with the withdrawals
+// of both. A version below the one in force would be accepted and then ignored by
+// every VM.
+func (w *Writer) base(s storedEnvelope) *configstate.Envelope {
 	base := s.envelope
-	here := w.known()
+	local := w.inForce()
 	switch {
-	case base == nil && here == nil:
+	case base == nil && local == nil:
 		return &configstate.Envelope{}
 	case base == nil:
-		return here
-	case here == nil:
+		return local
+	case local == nil:
 		return base
 	}
 	merged := *base
-	if here.Version > base.Version {
-		merged = *here
+	if local.Version > base.Version {
+		merged = *local
 	}
-	merged.Withdrawn = configstate.Union(base.Withdrawn, here.Withdrawn)
+	merged.Withdrawn = configstate.Union(base.Withdrawn, local.Withdrawn)
 	return &merged
 }
 
-func (w *Writer) known() *configstate.Envelope {
-	if w.Known == nil {
+func (w *Writer) inForce() *configstate.Envelope {
+	if w.InForce == nil {
 		return nil
 	}
-	return w.Known()
+	return w.InForce()
 }
 
 // Apply accepts a document if the accepted version is still baseVersion. It
-// returns the check's strictyaml.Errors, configstate.ErrWithdrawnListed,
-// a ConflictError, an UnknownError, or a kv error if nothing was written.
+// returns the errors of Check, configstate.ErrWithdrawnListed, a ConflictError, an
+// UnknownError, an error of package placement, or a kv error if nothing was
+// written.
 func (w *Writer) Apply(ctx context.Context, c Change, baseVersion int64, text string) (*Accepted, error) {
 	doc, err := w.Check(text)
 	if err != nil {
 		return nil, err
 	}
-	c.provision()
+	c.applyDefaults()
 	return w.write(ctx, c, baseVersion, func(base *configstate.Envelope) (*configstate.Envelope, error) {
 		if base.Version != baseVersion && !w.faults.takeAnyBase {
-			return nil, conflict(base, baseVersion, doc)
+			return nil, newConflictError(base, baseVersion, doc)
 		}
 		if w.faults.forgetWithdrawals {
 			return &configstate.Envelope{Document: text}, nil
 		}
-		if err := configstate.ListedWithdrawn(doc, base.Withdrawn); err != nil {
+		if err := configstate.CheckListedKeys(doc, base.Withdrawn); err != nil {
 			return nil, err
 		}
-		if err := checkMove(base, doc); err != nil {
+		if err := checkTransition(base, doc); err != nil {
 			return nil, err
 		}
 		return &configstate.Envelope{Document: text, Withdrawn: base.Withdrawn}, nil
 	})
 }
 
-// Check parses a document, refuses one of another environment and looks for a
-// placement of everything in it.
+// Check parses a document and checks that it belongs to this environment and that
+// a placement of all its models and adapters exists. It returns strictyaml.Errors,
+// an EnvironmentError or an error of package placement.
 func (w *Writer) Check(text string) (*document.Document, error) {
 	doc, err := document.Parse([]byte(text), "document")
 	if err != nil {
@@ -193,10 +197,11 @@
 	return doc, nil
 }
 
-// checkMove looks for room to load what a document replaces beside what is in
-// force. Without it a change could be accepted that no order of loads reaches
-// without a model missing meanwhile. Changes of keys and rates move nothing.
-func checkMove(base *configstate.Envelope, next *document.Document) error {
+// checkTransition checks that there is room to load what the next document replaces
+// next to what is in force. Otherwise a change could be accepted that no order of
+// loads can complete without making a model unavailable in between. Changes of keys
+// and rates cause no loads.
+func checkTransition(base *configstate.Envelope, next *document.Document) error {
 	if base.Version == 0 {
 		return nil
 	}
@@ -210,11 +215,12 @@
 	return placement.FitsChange(current, next)
 }
 
-// Withdraw accepts withdrawals on top of whatever is accepted. It writes nothing
-// if they are all there already. Losing a race is no conflict here: withdrawals
-// only ever add up.
+// Withdraw adds withdrawals to the accepted envelope, whatever its version. It
+// writes nothing if the envelope has all of them already. It retries if another
+// change is accepted first, because withdrawals never conflict with other changes.
+// It returns ErrNothingAccepted if there is no accepted configuration.
 func (w *Writer) Withdraw(ctx context.Context, c Change, digests []string) (*Accepted, error) {
-	c.provision()
+	c.applyDefaults()
 	for {
 		accepted, err := w.write(ctx, c, anyBase, func(base *configstate.Envelope) (*configstate.Envelope, error) {
 			if base.Version == 0 {
@@ -222,44 +228,45 @@
 			}
 			return &configstate.Envelope{Document: base.Document, Withdrawn: configstate.Union(base.Withdrawn, digests)}, nil
 		})
-		var lost *ConflictError
-		if !errors.As(err, &lost) || ctx.Err() != nil {
+		var conflictErr *ConflictError
+		if !errors.As(err, &conflictErr) || ctx.Err() != nil {
 			return accepted, err
 		}
 	}
 }
 
-// anyBase is the base version of a change that is no matter of versions.
+// anyBase is the base version of a change that applies to any version.
 const anyBase = math.MaxInt64
 
-// write reads, lets change build the next envelope, and swaps it in.
+// write reads the accepted envelope, builds the next one with change, and writes it
+// by compare-and-swap.
 func (w *Writer) write(ctx context.Context, c Change, baseVersion int64, change func(base *configstate.Envelope) (*configstate.Envelope, error)) (*Accepted, error) {
-	now, err := w.load(ctx)
+	current, err := w.load(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if done, err := w.repeated(ctx, c, baseVersion, now); done != nil || err != nil {
+	if done, err := w.findRepeated(ctx, c, baseVersion, current); done != nil || err != nil {
 		return done, err
 	}
-	base := w.base(now)
+	base := w.base(current)
 	next, err := change(base)
 	if err != nil {
 		return nil, err
 	}
-	if now.envelope != nil && now.envelope.Document == next.Document && len(configstate.Missing(now.envelope.Withdrawn, next.Withdrawn)) == 0 {
-		return &Accepted{Envelope: now.envelope, Revision: now.revision}, nil
+	if current.envelope != nil && current.envelope.Document == next.Document && len(configstate.Missing(current.envelope.Withdrawn, next.Withdrawn)) == 0 {
+		return &Accepted{Envelope: current.envelope, Revision: current.revision}, nil
 	}
 	next.Environment = w.Environment
 	next.Version = base.Version + 1
 	next.ChangeID, next.Nonce, next.Author = c.ID, c.Nonce, c.Author
 	next.Digest = document.Digest([]byte(next.Document))
 	next.AcceptedAt = w.now()
-	// The version that is about to be replaced goes to the history first, so
-	// that no accepted version is ever missing there.
-	if err := w.keep(ctx, now.envelope); err != nil {
+	// The envelope to be replaced is written to the history first, so that no
+	// accepted version is ever missing there.
+	if err := w.archive(ctx, current.envelope); err != nil {
 		return nil, err
 	}
-	return w.swap(ctx, now, next)
+	return w.compareAndSwap(ctx, current, next)
 }
 
 func (w *Writer) now() time.Time {
@@ -269,17 +276,18 @@
 	return w.Now()
 }
 
-// swap writes next in place of what was read and settles a lost answer.
-func (w *Writer) swap(ctx context.Context, now stored, next *configstate.Envelope) (*Accepted, error) {
+// compareAndSwap replaces the envelope that was read with next, and determines the
+// outcome if the response is lost.
+func (w *Writer) compareAndSwap(ctx context.Context, current storedEnvelope, next *configstate.Envelope) (*Accepted, error) {
 	data, err := next.Encode()
 	if err != nil {
 		return nil, err
 	}
 	result, err := kv.Settle(ctx, w.Store, kv.Attempt{
 		Key:      Key(w.Environment),
-		Expected: now.revision,
+		Expected: current.revision,
 		Value:    data,
-		Mine:     mine(next),
+		Mine:     attemptVerdict(next),
 		Resend:   true,
 		Sleep:    w.Sleep,
 	})
@@ -295,16 +303,17 @@
 		return accepted, nil
 	case kv.Unknown:
 		if w.faults.unknownIsFailure {
-			return nil, w.lost(result, next)
+			return nil, w.raceConflict(result, next)
 		}
-		return w.settleLater(ctx, next)
+		return w.settleFromHistory(ctx, next)
 	}
-	return nil, w.lost(result, next)
+	return nil, w.raceConflict(result, next)
 }
 
-// mine judges a stored envelope by its version and nonce. Every version is
-// taken by exactly one envelope.
-func mine(next *configstate.Envelope) func([]byte) kv.Verdict {
+// attemptVerdict returns a function that tells from the version and the nonce of a
+// stored envelope whether the attempt to write next took effect. Every version
+// belongs to exactly one envelope.
+func attemptVerdict(next *configstate.Envelope) func([]byte) kv.Verdict {
 	return func(value []byte) kv.Verdict {
 		e, err := configstate.Decode(value)
 		switch {
@@ -319,8 +328,9 @@
 	}
 }
 
-// lost returns the difference that the loser of a race has to look at.
-func (w *Writer) lost(r kv.Result, next *configstate.Envelope) error {
+// raceConflict returns the ConflictError with the difference between next and the
+// envelope that was accepted instead.
+func (w *Writer) raceConflict(r kv.Result, next *configstate.Envelope) error {
 	doc, err := document.Parse([]byte(next.Document), "document")
 	if err != nil {
 		return err
@@ -331,5 +341,5 @@
 			current = e
 		}
 	}
-	return conflict(current, next.Version-1, doc)
+	return newConflictError(current, next.Version-1, doc)
 }
