--- a/internal/document/bytes.go
+++ b/internal/document/bytes.go
@@ -19,17 +19,18 @@
 	GiB Bytes = 1 << 30
 )
 
-// units are ordered from the largest, so that String finds the shortest form.
+// units are in descending order, so that String finds the shortest form.
 var units = []struct {
 	suffix string
 	size   Bytes
 }{{"GiB", GiB}, {"MiB", MiB}, {"KiB", KiB}}
 
-// maxBytes bounds one amount, so that sums over a document cannot overflow.
+// maxBytes is the maximum of one amount, so that sums over a document cannot
+// overflow.
 const maxBytes = 1 << 50
 
-// ParseBytes reads a whole number with a binary unit. It returns ErrBadUnit
-// for anything else: a plain number or "GB" could mean two sizes.
+// ParseBytes parses a whole number with a binary unit, or "0". It returns ErrBadUnit
+// for anything else, because a plain number or "GB" is ambiguous.
 func ParseBytes(text string) (Bytes, error) {
 	for _, u := range units {
 		number, ok := strings.CutSuffix(text, u.suffix)
@@ -48,7 +49,8 @@
 	return 0, errors.Wrapf(ErrBadUnit, "%q: write a whole number with KiB, MiB or GiB", text)
 }
 
-// String returns the amount in the largest unit that divides it.
+// String returns the amount in the largest unit that divides it, or in bytes without
+// a unit if none does.
 func (b Bytes) String() string {
 	for _, u := range units {
 		if b != 0 && b%u.size == 0 {
@@ -58,7 +60,7 @@
 	return strconv.FormatInt(int64(b), 10)
 }
 
-// UnmarshalYAML reads an amount from a scalar.
+// UnmarshalYAML parses an amount from a scalar.
 func (b *Bytes) UnmarshalYAML(n *yaml.Node) error {
 	parsed, err := ParseBytes(n.Value)
 	if err != nil {
--- a/internal/document/diff.go
+++ b/internal/document/diff.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// ChangeKind says what became of a field or a listed thing.
+// ChangeKind says how a field or list item changed.
 type ChangeKind string
 
 // The kinds of change.
@@ -18,18 +18,19 @@
 
 // Change is one difference between two documents.
 type Change struct {
-	// Kind says what became of it.
+	// Kind says how the field or list item changed.
 	Kind ChangeKind `json:"kind" yaml:"kind"`
-	// Path names it by the names in the document: "teams[drafting].rate".
+	// Path is the path of the field or list item, with items identified by their
+	// names: "teams[drafting].rate".
 	Path string `json:"path" yaml:"path"`
-	// Before is the old value, empty if there was none.
+	// Before is the old value, empty if the item was added.
 	Before string `json:"before,omitempty" yaml:"before,omitempty"`
-	// After is the new value, empty if there is none.
+	// After is the new value, empty if the item was removed.
 	After string `json:"after,omitempty" yaml:"after,omitempty"`
 }
 
-// Diff returns what changes from a to b, in the document's order. Listed things
-// are the same if their names are, wherever they stand. Either may be nil.
+// Diff returns the changes from a to b, in the order of the document. List items
+// are matched by name, regardless of their position. Either document may be nil.
 func Diff(a, b *Document) []Change {
 	if a == nil {
 		a = new(Document)
@@ -37,22 +38,22 @@
 	if b == nil {
 		b = new(Document)
 	}
-	var d differ
-	d.compare("", reflect.ValueOf(*a), reflect.ValueOf(*b))
+	var d diffCollector
+	d.compareValues("", reflect.ValueOf(*a), reflect.ValueOf(*b))
 	return d.changes
 }
 
-type differ struct{ changes []Change }
+type diffCollector struct{ changes []Change }
 
-func (d *differ) compare(path string, a, b reflect.Value) {
+func (d *diffCollector) compareValues(path string, a, b reflect.Value) {
 	switch a.Kind() {
 	case reflect.Struct:
 		for i := range a.NumField() {
 			name, _, _ := strings.Cut(a.Type().Field(i).Tag.Get("yaml"), ",")
-			d.compare(strings.TrimPrefix(path+"."+name, "."), a.Field(i), b.Field(i))
+			d.compareValues(strings.TrimPrefix(path+"."+name, "."), a.Field(i), b.Field(i))
 		}
 	case reflect.Slice:
-		d.list(path, a, b)
+		d.compareLists(path, a, b)
 	default:
 		before, after := fmt.Sprint(a.Interface()), fmt.Sprint(b.Interface())
 		if before != after {
@@ -61,7 +62,7 @@
 	}
 }
 
-func (d *differ) list(path string, a, b reflect.Value) {
+func (d *diffCollector) compareLists(path string, a, b reflect.Value) {
 	after := make(map[string]reflect.Value, b.Len())
 	for i := range b.Len() {
 		after[identity(b.Index(i))] = b.Index(i)
@@ -76,7 +77,7 @@
 			d.changes = append(d.changes, Change{Kind: Removed, Path: at, Before: summary(a.Index(i))})
 			continue
 		}
-		d.compare(at, a.Index(i), next)
+		d.compareValues(at, a.Index(i), next)
 	}
 	for i := range b.Len() {
 		id := identity(b.Index(i))
@@ -86,7 +87,7 @@
 	}
 }
 
-// identity returns what names a listed thing.
+// identity returns the name by which a list item is matched.
 func identity(v reflect.Value) string {
 	switch x := v.Interface().(type) {
 	case Key:
@@ -100,7 +101,7 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// summary shows a listed thing's plain fields.
+// summary formats a list item: its fields, with the length in place of a list.
 func summary(v reflect.Value) string {
 	if v.Kind() != reflect.Struct {
 		return fmt.Sprint(v.Interface())
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Document is everything that operators decide for one environment. It is the
-// unit of acceptance: a document is in force as a whole or not at all.
+// Document is the configuration of one environment. It is accepted and put in force
+// as a whole or not at all.
 type Document struct {
 	// Environment is the name of the environment, for example "gt-production".
 	Environment string `yaml:"environment"`
 	// FailureDomains lists the failure domains that upstreams and VMs refer to.
 	FailureDomains []string `yaml:"failure_domains"`
-	// Teams lists the tenants and what each may use.
+	// Teams lists the tenants with their limits and keys.
 	Teams []Team `yaml:"teams"`
 	// Models lists the base models to keep resident.
 	Models []Model `yaml:"models"`
 	// Engines lists the model engines.
 	Engines []Engine `yaml:"engines"`
-	// Services lists the pools of plain services.
+	// Services lists the pools of services that are not model engines.
 	Services []Service `yaml:"services"`
 	// Routes maps callers' paths to service pools.
 	Routes []Route `yaml:"routes"`
-	// WeightStore bounds what the weight store is asked for.
+	// WeightStore limits the loads from the weight store.
 	WeightStore WeightStore `yaml:"weight_store"`
-	// Promotion gives the thresholds that a document must meet in this
+	// Promotion contains the thresholds that the document must meet in this
 	// environment before it may be promoted to the next one.
 	Promotion Promotion `yaml:"promotion"`
 }
@@ -43,7 +43,7 @@
 
 // Key is the digest of a caller's key. The key itself never appears.
 type Key struct {
-	// ID names the key in logs and commands.
+	// ID identifies the key in logs and commands.
 	ID string `yaml:"id"`
 	// SHA256 is the lower-case hexadecimal SHA-256 digest of the key.
 	SHA256 string `yaml:"sha256"`
@@ -52,14 +52,14 @@
 // Model is a base model with its adapters. Models and adapters share one
 // namespace: a caller names either in the "model" field of a request.
 type Model struct {
-	// Name is what callers ask for.
+	// Name is the name that callers use in requests.
 	Name string `yaml:"name"`
 	// Version selects the weights. Changing it replaces the model without
 	// interrupting running requests.
 	Version string `yaml:"version"`
 	// Memory is the accelerator memory of the weights.
 	Memory Bytes `yaml:"memory"`
-	// Replicas is the least number of ready copies. The default is 1.
+	// Replicas is the minimum number of ready copies. The default is 1.
 	Replicas int `yaml:"replicas"`
 	// Adapters lists the adapters of this model.
 	Adapters []Adapter `yaml:"adapters"`
@@ -67,7 +67,7 @@
 
 // Adapter is a low-rank adapter (LoRA) on a base model.
 type Adapter struct {
-	// Name is what callers ask for.
+	// Name is the name that callers use in requests.
 	Name string `yaml:"name"`
 	// Version selects the weights.
 	Version string `yaml:"version"`
@@ -78,10 +78,11 @@
 	MaxInFlight int `yaml:"max_in_flight"`
 }
 
-// Fencing says whether an engine refuses an order with an old fencing number.
+// Fencing says whether an engine refuses an order with an old fencing token.
 type Fencing string
 
-// The two kinds of engine. Which one an engine is must be stated, never guessed.
+// The kinds of fencing. There is no default: the document must state it for each
+// engine.
 const (
 	FencingEnforced Fencing = "enforced"
 	FencingIgnored  Fencing = "ignored"
@@ -99,18 +100,18 @@
 	Memory Bytes `yaml:"memory"`
 	// KVCacheReserve is the part of Memory that weights may not use.
 	KVCacheReserve Bytes `yaml:"kv_cache_reserve"`
-	// Fencing says whether the engine enforces fencing numbers.
+	// Fencing says whether the engine enforces fencing tokens.
 	Fencing Fencing `yaml:"fencing"`
-	// Draining means that the upstream gets no new work and that what it holds
+	// Draining means that the upstream gets no new work and that everything on it
 	// is to be moved away. The default is false.
 	Draining bool `yaml:"draining,omitempty"`
 }
 
-// Service is a pool of interchangeable plain services.
+// Service is a pool of interchangeable replicas of a service.
 type Service struct {
-	// Name identifies the pool.
+	// Name identifies the pool. It is unique among the pools.
 	Name string `yaml:"name"`
-	// Replicas lists the members.
+	// Replicas lists the members of the pool.
 	Replicas []ServiceReplica `yaml:"replicas"`
 }
 
@@ -122,7 +123,7 @@
 	URL string `yaml:"url"`
 	// FailureDomain is one of the document's failure domains.
 	FailureDomain string `yaml:"failure_domain"`
-	// Draining means that the upstream gets no new work and that what it holds
+	// Draining means that the upstream gets no new work and that everything on it
 	// is to be moved away. The default is false.
 	Draining bool `yaml:"draining,omitempty"`
 }
@@ -130,7 +131,8 @@
 // Repeat says whether a call may be sent to an upstream more than once.
 type Repeat string
 
-// RepeatNever is the default: the call is not idempotent.
+// RepeatNever is the default and is for calls that are not idempotent. RepeatSafe
+// allows a call to be repeated.
 const (
 	RepeatNever Repeat = "never"
 	RepeatSafe  Repeat = "safe"
@@ -140,34 +142,34 @@
 type Route struct {
 	// Path is the exact path below "/services", for example "/registry/filings".
 	Path string `yaml:"path"`
-	// Service names the pool.
+	// Service is the name of the pool.
 	Service string `yaml:"service"`
 	// Repeat says whether a call may be repeated. The default is "never".
 	Repeat Repeat `yaml:"repeat"`
-	// Cost is the number of tokens that one call takes from the team's rate.
+	// Cost is the number of tokens of the team's rate that one call consumes.
 	// The default is 1.
 	Cost int64 `yaml:"cost"`
-	// Timeout bounds one call. The default is 30s.
+	// Timeout is the time limit of one call. The default is 30s.
 	Timeout time.Duration `yaml:"timeout"`
 }
 
-// WeightStore bounds loads over the whole fleet.
+// WeightStore limits loads over the whole fleet.
 type WeightStore struct {
-	// LoadsPerSecond is the number of loads that may start in a second.
+	// LoadsPerSecond is the maximum number of loads that start in a second.
 	LoadsPerSecond float64 `yaml:"loads_per_second"`
-	// ConcurrentLoads is the number of loads that may run at once.
+	// ConcurrentLoads is the maximum number of loads in flight.
 	ConcurrentLoads int `yaml:"concurrent_loads"`
 }
 
-// Promotion gives the evidence that a promotion needs.
+// Promotion contains the thresholds that the evidence for a promotion must meet.
 type Promotion struct {
 	// MinTimeInForce is how long the document must have been in force.
 	MinTimeInForce time.Duration `yaml:"min_time_in_force"`
-	// MinRequests is the least number of requests to judge by.
+	// MinRequests is the minimum number of requests in the evidence.
 	MinRequests int64 `yaml:"min_requests"`
-	// MinAttainment is the least share of requests within the latency
+	// MinAttainment is the minimum share of requests within the latency
 	// objectives, from 0 to 1.
 	MinAttainment float64 `yaml:"min_attainment"`
-	// MaxErrorShare is the largest share of failed requests, from 0 to 1.
+	// MaxErrorShare is the maximum share of failed requests, from 0 to 1.
 	MaxErrorShare float64 `yaml:"max_error_share"`
 }
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -11,7 +11,7 @@
 
 const digestA = "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b"
 
-const small = `environment: test
+const smallDocument = `environment: test
 failure_domains: [a, b]
 teams:
 - name: drafting
@@ -38,7 +38,7 @@
 `
 
 func TestParseAppliesDefaults(t *testing.T) {
-	doc, err := Parse([]byte(small), "env.yaml")
+	doc, err := Parse([]byte(smallDocument), "env.yaml")
 	require.NoError(t, err)
 	require.EqualValues(t, DefaultWeight, doc.Teams[0].Weight)
 	require.Equal(t, DefaultReplicas, doc.Models[0].Replicas)
@@ -47,8 +47,8 @@
 	require.Equal(t, 10*GiB, doc.Models[0].Memory)
 }
 
-// An operator's slip reaches no VM: each mistake is refused by its type, with
-// the place to mend, before anything is written.
+// Each kind of mistake in a document is refused with its error and its place, before
+// anything is written, so that it does not reach any VM.
 func TestParseRefusesMistakes(t *testing.T) {
 	cases := []struct {
 		name, from, to, place string
@@ -75,18 +75,18 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			require.Contains(t, small, c.from)
-			_, err := Parse([]byte(strings.Replace(small, c.from, c.to, 1)), "env.yaml")
+			require.Contains(t, smallDocument, c.from)
+			_, err := Parse([]byte(strings.Replace(smallDocument, c.from, c.to, 1)), "env.yaml")
 			require.ErrorIs(t, err, c.is)
 			require.Contains(t, err.Error(), c.place)
 		})
 	}
 }
 
-// Two teams list one key by a copied line. Whose rate is used would depend on
-// the order of the document.
+// Two teams list the same key because a line was copied. Which team's rate applies
+// would depend on the order of the document.
 func TestParseRefusesKeyOfTwoTeams(t *testing.T) {
-	text := strings.Replace(small, "models:", `- name: other
+	text := strings.Replace(smallDocument, "models:", `- name: other
   rate: 1
   burst: 1
   keys: [{id: k, sha256: `+digestA+`}]
@@ -97,25 +97,25 @@
 }
 
 func TestParseReportsAllMistakes(t *testing.T) {
-	text := strings.NewReplacer("rate: 1000", "rate: -1", "failure_domain: b", "failure_domain: c").Replace(small)
+	text := strings.NewReplacer("rate: 1000", "rate: -1", "failure_domain: b", "failure_domain: c").Replace(smallDocument)
 	_, err := Parse([]byte(text), "env.yaml")
 	require.ErrorIs(t, err, ErrOutOfRange)
 	require.ErrorIs(t, err, ErrUnknownFailureDomain)
 }
 
-// A model is added that the engines have no memory for. The operator sees the
-// sums, and the model that no engine can hold.
-func TestParseShowsArithmeticOfMisfit(t *testing.T) {
-	_, err := Parse([]byte(strings.Replace(small, "10GiB", "13GiB", 1)), "env.yaml")
+// A model is added for which the engines have too little memory. The error must show
+// the sums and the model that fits in no engine.
+func TestParseReportsMemoryShortfall(t *testing.T) {
+	_, err := Parse([]byte(strings.Replace(smallDocument, "10GiB", "13GiB", 1)), "env.yaml")
 	require.ErrorIs(t, err, ErrDoesNotFit)
 	require.ErrorContains(t, err, "needed: models 13.00GiB + adapters 1.00GiB = 14.00GiB; there is: engines 16.00GiB - KV cache reserve 4.00GiB = 12.00GiB")
 	require.ErrorContains(t, err, "models[0].memory: 13.00GiB in one engine: the largest holds 12.00GiB")
 }
 
-func TestDiffNamesWhatChanges(t *testing.T) {
-	a, err := Parse([]byte(small), "a")
+func TestDiffReportsChanges(t *testing.T) {
+	a, err := Parse([]byte(smallDocument), "a")
 	require.NoError(t, err)
-	text := strings.NewReplacer("rate: 1000", "rate: 1500", "name: x, version: v1", "name: y, version: v1").Replace(small)
+	text := strings.NewReplacer("rate: 1000", "rate: 1500", "name: x, version: v1", "name: y, version: v1").Replace(smallDocument)
 	b, err := Parse([]byte(text), "b")
 	require.NoError(t, err)
 	changes := Diff(a, b)
@@ -139,10 +139,10 @@
 	}
 }
 
-// A key is added by command to a text that operators have commented. Their
-// comments, and everything else, stay.
-func TestWithKeyKeepsTheText(t *testing.T) {
-	commented := strings.Replace(small, "teams:", "# Drafting pays for two accelerators.\nteams:", 1)
+// Adding a key by command to a document with comments must preserve the comments and
+// all other content.
+func TestWithKeyPreservesText(t *testing.T) {
+	commented := strings.Replace(smallDocument, "teams:", "# Drafting pays for two accelerators.\nteams:", 1)
 	key := Key{ID: "second", SHA256: Digest([]byte("second"))}
 	text, err := WithKey([]byte(commented), "drafting", key)
 	require.NoError(t, err)
@@ -150,16 +150,16 @@
 	doc, err := Parse(text, "env.yaml")
 	require.NoError(t, err)
 	require.Equal(t, key, doc.Teams[0].Keys[1])
-	before, err := Parse([]byte(small), "env.yaml")
+	before, err := Parse([]byte(smallDocument), "env.yaml")
 	require.NoError(t, err)
 	require.Len(t, Diff(before, doc), 1)
-	_, err = WithKey([]byte(small), "nobody", key)
+	_, err = WithKey([]byte(smallDocument), "nobody", key)
 	require.ErrorIs(t, err, ErrNoTeam)
 }
 
-func TestWithReleaseTakesOnlyWhatIsServed(t *testing.T) {
-	trial := strings.NewReplacer("environment: test", "environment: trial", "version: v1", "version: v2", "rate: 1000", "rate: 1").Replace(small)
-	text, err := WithRelease([]byte(small), []byte(trial))
+func TestWithReleaseReplacesOnlyReleaseSections(t *testing.T) {
+	trial := strings.NewReplacer("environment: test", "environment: trial", "version: v1", "version: v2", "rate: 1000", "rate: 1").Replace(smallDocument)
+	text, err := WithRelease([]byte(smallDocument), []byte(trial))
 	require.NoError(t, err)
 	got, err := Parse(text, "env.yaml")
 	require.NoError(t, err)
--- a/internal/document/edit.go
+++ b/internal/document/edit.go
@@ -9,13 +9,14 @@
 	"github.com/chestnutarch/chestnutarch/internal/strictyaml"
 )
 
-// releaseSections are the parts of a document that a promotion carries: what is
-// served and how calls are routed. Teams, upstreams and their addresses belong
-// to one environment.
+// releaseSections are the parts of a document that a promotion copies: the models
+// and the routes. Teams, upstreams and their addresses are specific to one
+// environment.
 var releaseSections = []string{"models", "routes"}
 
-// ReleaseDigest returns the digest of the parts that a promotion carries, after
-// the defaults. Two environments with the same one serve the same.
+// ReleaseDigest returns the digest of the parts that a promotion copies, after
+// defaults are applied. Environments with the same release digest have the same
+// models and routes.
 func (d *Document) ReleaseDigest() string {
 	release := struct {
 		Models []Model `yaml:"models"`
@@ -23,33 +24,33 @@
 	}{d.Models, d.Routes}
 	text, err := yaml.Marshal(release)
 	if err != nil {
-		// Plain structs of strings and numbers always marshal.
+		// Marshaling structs of strings and numbers does not fail.
 		return ""
 	}
 	return Digest(text)
 }
 
-// WithRelease returns target's text with the release sections of source in
-// place of its own. Comments outside of them are kept.
+// WithRelease returns the text of target with its release sections replaced by those
+// of source. Comments outside of these sections are preserved.
 func WithRelease(target, source []byte) ([]byte, error) {
-	into, err := mapping(target, "target")
+	targetRoot, err := parseMapping(target, "target")
 	if err != nil {
 		return nil, err
 	}
-	from, err := mapping(source, "source")
+	sourceRoot, err := parseMapping(source, "source")
 	if err != nil {
 		return nil, err
 	}
 	for _, name := range releaseSections {
-		setField(into.Content[0], name, field(from.Content[0], name))
+		setField(targetRoot.Content[0], name, field(sourceRoot.Content[0], name))
 	}
-	return marshal(into)
+	return marshal(targetRoot)
 }
 
-// WithKey returns the text with a key added to a team. It returns ErrNoTeam if
-// the document lacks the team.
+// WithKey returns the text with a key added to a team. It returns ErrNoTeam if the
+// document does not contain the team.
 func WithKey(text []byte, team string, key Key) ([]byte, error) {
-	root, err := mapping(text, "document")
+	root, err := parseMapping(text, "document")
 	if err != nil {
 		return nil, err
 	}
@@ -76,10 +77,11 @@
 	return nil, errors.Wrap(ErrNoTeam, team)
 }
 
-// WithDraining returns the text with an engine's or service replica's draining
-// set. It returns ErrNoUpstream if the document lacks the upstream.
+// WithDraining returns the text with the draining field of an engine or service
+// replica set. It returns ErrNoUpstream if the document does not contain the
+// upstream.
 func WithDraining(text []byte, upstream string, draining bool) ([]byte, error) {
-	root, err := mapping(text, "document")
+	root, err := parseMapping(text, "document")
 	if err != nil {
 		return nil, err
 	}
@@ -102,7 +104,7 @@
 	return nil, errors.Wrap(ErrNoUpstream, upstream)
 }
 
-// items returns the members of a list, none if it is nil.
+// items returns the items of a list, or none if list is nil.
 func items(list *yaml.Node) []*yaml.Node {
 	if list == nil {
 		return nil
@@ -110,20 +112,20 @@
 	return list.Content
 }
 
-// mapping parses a text whose top is a mapping.
-func mapping(text []byte, file string) (*yaml.Node, error) {
+// parseMapping parses a text whose top level is a mapping.
+func parseMapping(text []byte, file string) (*yaml.Node, error) {
 	root := new(yaml.Node)
 	err := yaml.Unmarshal(text, root)
 	if err != nil {
 		return nil, errors.Wrapf(strictyaml.ErrSyntax, "%s: %v", file, err)
 	}
 	if len(root.Content) != 1 || root.Content[0].Kind != yaml.MappingNode {
-		return nil, errors.Wrapf(strictyaml.ErrSyntax, "%s: expected fields", file)
+		return nil, errors.Wrapf(strictyaml.ErrSyntax, "%s: expected a mapping at the top level", file)
 	}
 	return root, nil
 }
 
-// field returns the value of a mapping's field, nil if it has none.
+// field returns the value of a field of a mapping, nil if there is no such field.
 func field(m *yaml.Node, name string) *yaml.Node {
 	for i := 0; i+1 < len(m.Content); i += 2 {
 		if m.Content[i].Value == name {
@@ -133,7 +135,7 @@
 	return nil
 }
 
-// setField replaces, adds or, with nil, removes a mapping's field.
+// setField sets a field of a mapping, or removes it if value is nil.
 func setField(m *yaml.Node, name string, value *yaml.Node) {
 	for i := 0; i+1 < len(m.Content); i += 2 {
 		if m.Content[i].Value != name {
@@ -152,7 +154,7 @@
 	}
 }
 
-// yamlIndent is the indentation of texts that are written back.
+// yamlIndent is the indentation of edited documents, in spaces.
 const yamlIndent = 2
 
 func marshal(root *yaml.Node) ([]byte, error) {
--- a/internal/document/errors.go
+++ b/internal/document/errors.go
@@ -9,20 +9,22 @@
 	ErrMissing = errors.New("missing")
 	// ErrOutOfRange means that a number is outside what the field allows.
 	ErrOutOfRange = errors.New("out of range")
-	// ErrUnknownChoice means that a field names none of its choices.
+	// ErrUnknownChoice means that the value of a field is not an allowed one.
 	ErrUnknownChoice = errors.New("unknown choice")
-	// ErrDuplicateName means that two things share a name.
+	// ErrDuplicateName means that two items have the same name, address or path.
 	ErrDuplicateName = errors.New("name given twice")
-	// ErrNoBaseModel means that an adapter hangs on an entry that is no base
-	// model, because the entry has no weights of its own.
+	// ErrNoBaseModel means that adapters are listed under an entry that is not a
+	// base model, because it has no weights of its own.
 	ErrNoBaseModel = errors.New("adapter without base model")
 	// ErrUnknownFailureDomain means that a failure domain is not listed.
 	ErrUnknownFailureDomain = errors.New("unknown failure domain")
-	// ErrUnknownService means that a route leads to no service pool.
+	// ErrUnknownService means that a route names a service pool that is not
+	// listed.
 	ErrUnknownService = errors.New("unknown service")
 	// ErrBadURL means that a URL is not "http://IP:port" or "https://IP:port".
 	ErrBadURL = errors.New("bad URL")
-	// ErrBadPath means that a route's path is not a clean absolute path.
+	// ErrBadPath means that a route's path is not a clean absolute path below
+	// "/".
 	ErrBadPath = errors.New("bad path")
 	// ErrBadDigest means that a key's digest is not a lower-case SHA-256.
 	ErrBadDigest = errors.New("bad digest")
@@ -30,8 +32,8 @@
 	ErrSharedKey = errors.New("key listed twice")
 	// ErrDoesNotFit means that the models and adapters cannot all be resident.
 	ErrDoesNotFit = errors.New("does not fit")
-	// ErrNoUpstream means that no engine or service replica has the name.
+	// ErrNoUpstream means that no engine or service replica has the given name.
 	ErrNoUpstream = errors.New("no such upstream")
-	// ErrNoTeam means that a command names a team that the document lacks.
+	// ErrNoTeam means that a command names a team that is not in the document.
 	ErrNoTeam = errors.New("no such team")
 )
--- a/internal/document/fit.go
+++ b/internal/document/fit.go
@@ -2,51 +2,53 @@
 
 import "fmt"
 
-// memory refuses what no placement can hold, by sums alone: a sum costs next to
-// nothing at every VM that reads the document. Whether a placement exists is for
-// package placement to find before a document is accepted.
-func (c *checker) memory() {
+// checkMemory refuses documents that no placement can satisfy, by sums only: a sum
+// is cheap at every VM that parses the document. Package placement checks whether a
+// placement exists, before a document is accepted.
+func (c *checker) checkMemory() {
 	if len(c.doc.Models) == 0 {
 		return
 	}
-	needed := c.doc.needs()
-	room, widest := c.doc.room()
-	if needed.total() > room.total() {
-		c.fail("models", ErrDoesNotFit, "%s; there is: %s", needed, room)
+	demand := c.doc.memoryDemand()
+	capacity, largest := c.doc.memoryCapacity()
+	if demand.total() > capacity.total() {
+		c.fail("models", ErrDoesNotFit, "%s; there is: %s", demand, capacity)
 	}
 	for i, m := range c.doc.Models {
-		if m.Memory > widest {
-			c.fail(fmt.Sprintf("models[%d].memory", i), ErrDoesNotFit, "%s in one engine: the largest holds %s", gib(m.Memory), gib(widest))
+		if m.Memory > largest {
+			c.fail(fmt.Sprintf("models[%d].memory", i), ErrDoesNotFit, "%s in one engine: the largest holds %s", formatGiB(m.Memory), formatGiB(largest))
 		}
 	}
 }
 
-// needs is the memory of the least number of copies.
-type needs struct{ models, adapters Bytes }
+// memoryDemand is the memory of the minimum number of copies of all models, and of
+// their adapters.
+type memoryDemand struct{ models, adapters Bytes }
 
-func (n needs) total() Bytes { return n.models + n.adapters }
+func (n memoryDemand) total() Bytes { return n.models + n.adapters }
 
-// String shows the sum, so that an operator sees what to change.
-func (n needs) String() string {
-	return fmt.Sprintf("needed: models %s + adapters %s = %s", gib(n.models), gib(n.adapters), gib(n.total()))
+// String formats the demand with its terms, so that operators see what to change.
+func (n memoryDemand) String() string {
+	return fmt.Sprintf("needed: models %s + adapters %s = %s", formatGiB(n.models), formatGiB(n.adapters), formatGiB(n.total()))
 }
 
-// room is the memory for weights.
-type room struct{ engines, reserve Bytes }
+// memoryCapacity is the memory of engines and the part of it that is reserved for the
+// KV cache. The difference is available for weights.
+type memoryCapacity struct{ engines, reserve Bytes }
 
-func (r room) total() Bytes { return r.engines - r.reserve }
+func (r memoryCapacity) total() Bytes { return r.engines - r.reserve }
 
-// String shows the difference.
-func (r room) String() string {
-	return fmt.Sprintf("engines %s - KV cache reserve %s = %s", gib(r.engines), gib(r.reserve), gib(r.total()))
+// String formats the capacity with its terms.
+func (r memoryCapacity) String() string {
+	return fmt.Sprintf("engines %s - KV cache reserve %s = %s", formatGiB(r.engines), formatGiB(r.reserve), formatGiB(r.total()))
 }
 
-func gib(b Bytes) string {
+func formatGiB(b Bytes) string {
 	return fmt.Sprintf("%.2fGiB", float64(b)/float64(GiB))
 }
 
-func (d *Document) needs() needs {
-	var n needs
+func (d *Document) memoryDemand() memoryDemand {
+	var n memoryDemand
 	for _, m := range d.Models {
 		n.models += m.Memory * Bytes(m.Replicas)
 		for _, a := range m.Adapters {
@@ -56,12 +58,13 @@
 	return n
 }
 
-// room returns the memory for weights of all engines and of the largest one.
-func (d *Document) room() (r room, widest Bytes) {
+// memoryCapacity returns the capacity of all engines, and the memory for weights of
+// the engine that has most of it.
+func (d *Document) memoryCapacity() (r memoryCapacity, largest Bytes) {
 	for _, e := range d.Engines {
 		r.engines += e.Memory
 		r.reserve += e.KVCacheReserve
-		widest = max(widest, e.Memory-e.KVCacheReserve)
+		largest = max(largest, e.Memory-e.KVCacheReserve)
 	}
-	return r, widest
+	return r, largest
 }
--- a/internal/document/parse.go
+++ b/internal/document/parse.go
@@ -16,8 +16,8 @@
 	DefaultTimeout  = 30 * time.Second
 )
 
-// Parse reads a document, applies the defaults and checks it. The error is
-// strictyaml.Errors and holds every mistake with its file, line and path. The
+// Parse parses a document, applies the defaults and validates it. The error is
+// strictyaml.Errors and contains every mistake with its file, line and path. The
 // document is nil if there is an error.
 func Parse(data []byte, file string) (*Document, error) {
 	doc := new(Document)
@@ -25,7 +25,7 @@
 	if err != nil {
 		return nil, err
 	}
-	doc.Provision()
+	doc.ApplyDefaults()
 	if errs := doc.validate(source); len(errs) > 0 {
 		return nil, errs
 	}
@@ -39,8 +39,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Provision applies the defaults.
-func (d *Document) Provision() {
+// ApplyDefaults sets the fields that are empty to their defaults.
+func (d *Document) ApplyDefaults() {
 	for i := range d.Teams {
 		orDefault(&d.Teams[i].Weight, DefaultWeight)
 	}
--- a/internal/document/validate.go
+++ b/internal/document/validate.go
@@ -13,8 +13,8 @@
 	"github.com/chestnutarch/chestnutarch/internal/strictyaml"
 )
 
-// Validate checks a document that was not read from a text, after Provision.
-// The error is strictyaml.Errors.
+// Validate checks a document that was not parsed from text. Call ApplyDefaults
+// before. The error is strictyaml.Errors.
 func (d *Document) Validate() error {
 	errs := d.validate(&strictyaml.Source{})
 	if len(errs) == 0 {
@@ -33,12 +33,12 @@
 	c.routes()
 	c.limits()
 	if len(c.errs) == 0 {
-		c.memory()
+		c.checkMemory()
 	}
 	return c.errs
 }
 
-// checker collects every mistake, so that an operator mends them in one go.
+// checker collects all mistakes, so that an operator can correct them at once.
 type checker struct {
 	source  *strictyaml.Source
 	doc     *Document
@@ -53,31 +53,31 @@
 	c.errs = append(c.errs, c.source.At(at, err))
 }
 
-// name checks a name that appears in keys, paths and logs.
+// name checks a name that is used in keys, paths and logs.
 func (c *checker) name(at, name string) {
 	if name == "" {
 		c.fail(at, ErrMissing, "")
 		return
 	}
 	for _, r := range name {
-		plain := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
-		if !plain && !strings.ContainsRune("-_.:", r) {
-			c.fail(at, ErrUnknownChoice, "%q: use letters, digits and -_.:", name)
+		allowed := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
+		if !allowed && !strings.ContainsRune("-_.:", r) {
+			c.fail(at, ErrUnknownChoice, "%q: must consist of letters, digits and -_.:", name)
 			return
 		}
 	}
 }
 
-// unique reports a name that an earlier path has taken.
-func (c *checker) unique(taken map[string]string, at, name string) {
+// unique reports a name that was already seen at an earlier path.
+func (c *checker) unique(seen map[string]string, at, name string) {
 	if name == "" {
 		return
 	}
-	if first, twice := taken[name]; twice {
-		c.fail(at, ErrDuplicateName, "%q is also %s", name, first)
+	if first, duplicate := seen[name]; duplicate {
+		c.fail(at, ErrDuplicateName, "%q is already used at %s", name, first)
 		return
 	}
-	taken[name] = at
+	seen[name] = at
 }
 
 func (c *checker) positive(at string, n int64) {
@@ -96,11 +96,11 @@
 	if len(c.doc.FailureDomains) == 0 {
 		c.fail("failure_domains", ErrMissing, "")
 	}
-	taken := make(map[string]string)
+	seen := make(map[string]string)
 	for i, name := range c.doc.FailureDomains {
 		at := fmt.Sprintf("failure_domains[%d]", i)
 		c.name(at, name)
-		c.unique(taken, at, name)
+		c.unique(seen, at, name)
 		c.domains[name] = true
 	}
 }
@@ -119,9 +119,9 @@
 	}
 }
 
-// keys refuses a digest that stands twice. Shared by two teams, a request would
-// be charged to whichever was indexed last.
-func (c *checker) keys(team string, t Team, taken map[string]string) {
+// keys refuses a digest that is listed twice. A request with a key of two teams would
+// be charged to the team that was indexed last.
+func (c *checker) keys(team string, t Team, seen map[string]string) {
 	ids := make(map[string]string)
 	for i, key := range t.Keys {
 		at := fmt.Sprintf("%s.keys[%d]", team, i)
@@ -131,11 +131,11 @@
 			c.fail(at+".sha256", ErrBadDigest, "%q", key.SHA256)
 			continue
 		}
-		if first, twice := taken[key.SHA256]; twice {
-			c.fail(at+".sha256", ErrSharedKey, "also at %s", first)
+		if first, duplicate := seen[key.SHA256]; duplicate {
+			c.fail(at+".sha256", ErrSharedKey, "also listed at %s", first)
 			continue
 		}
-		taken[key.SHA256] = at
+		seen[key.SHA256] = at
 	}
 }
 
@@ -145,14 +145,14 @@
 	return err == nil && len(raw) == 32 && strings.ToLower(text) == text
 }
 
-// models checks base models and adapters, which share one namespace: a caller
-// names either in the same field.
+// models checks base models and adapters. They share one namespace, because callers
+// name either in the same field.
 func (c *checker) models() {
-	taken := make(map[string]string)
+	seen := make(map[string]string)
 	for i, model := range c.doc.Models {
 		at := fmt.Sprintf("models[%d]", i)
 		c.name(at+".name", model.Name)
-		c.unique(taken, at+".name", model.Name)
+		c.unique(seen, at+".name", model.Name)
 		c.name(at+".version", model.Version)
 		c.positive(at+".replicas", int64(model.Replicas))
 		switch {
@@ -163,14 +163,14 @@
 			c.positive(at+".memory", int64(model.Memory))
 		}
 		for j, adapter := range model.Adapters {
-			c.adapter(fmt.Sprintf("%s.adapters[%d]", at, j), adapter, taken)
+			c.adapter(fmt.Sprintf("%s.adapters[%d]", at, j), adapter, seen)
 		}
 	}
 }
 
-func (c *checker) adapter(at string, a Adapter, taken map[string]string) {
+func (c *checker) adapter(at string, a Adapter, seen map[string]string) {
 	c.name(at+".name", a.Name)
-	c.unique(taken, at+".name", a.Name)
+	c.unique(seen, at+".name", a.Name)
 	c.name(at+".version", a.Version)
 	c.positive(at+".memory", int64(a.Memory))
 	if a.MaxInFlight < 0 {
@@ -189,7 +189,7 @@
 			c.fail(at+".kv_cache_reserve", ErrOutOfRange, "%s: must be below the engine's memory %s", e.KVCacheReserve, e.Memory)
 		}
 		if e.Fencing != FencingEnforced && e.Fencing != FencingIgnored {
-			c.fail(at+".fencing", ErrUnknownChoice, "%q: state enforced or ignored", e.Fencing)
+			c.fail(at+".fencing", ErrUnknownChoice, "%q: must be enforced or ignored", e.Fencing)
 		}
 	}
 	pools := make(map[string]string)
@@ -219,8 +219,8 @@
 	}
 }
 
-// checkURL accepts a scheme, an IP number and a port and nothing more. A name
-// would make the system depend on a resolver that nobody promised.
+// checkURL accepts only a scheme, an IP address and a port. A host name would make
+// the system depend on a DNS resolver, which the platform does not guarantee.
 func checkURL(address string) error {
 	u, err := url.Parse(address)
 	if err != nil {
@@ -243,18 +243,18 @@
 	for _, s := range c.doc.Services {
 		pools[s.Name] = true
 	}
-	taken := make(map[string]string)
+	seen := make(map[string]string)
 	for i, r := range c.doc.Routes {
 		at := fmt.Sprintf("routes[%d]", i)
 		if !strings.HasPrefix(r.Path, "/") || path.Clean(r.Path) != r.Path || r.Path == "/" {
 			c.fail(at+".path", ErrBadPath, "%q", r.Path)
 		}
-		c.unique(taken, at+".path", r.Path)
+		c.unique(seen, at+".path", r.Path)
 		if !pools[r.Service] {
 			c.fail(at+".service", ErrUnknownService, "%q", r.Service)
 		}
 		if r.Repeat != RepeatNever && r.Repeat != RepeatSafe {
-			c.fail(at+".repeat", ErrUnknownChoice, "%q: write never or safe", r.Repeat)
+			c.fail(at+".repeat", ErrUnknownChoice, "%q: must be never or safe", r.Repeat)
 		}
 		c.positive(at+".cost", r.Cost)
 		c.positive(at+".timeout", int64(r.Timeout))
