--- a/internal/caller/auth.go
+++ b/internal/caller/auth.go
@@ -11,10 +11,12 @@
 	"github.com/chestnutarch/chestnutarch/internal/configstate"
 )
 
-// HeaderTimeout carries the caller's deadline as milliseconds from now.
+// HeaderTimeout is the request header with the caller's deadline, in milliseconds
+// from the arrival of the request.
 const HeaderTimeout = "X-Timeout-Ms"
 
-// authenticate finds out whose request this is.
+// authenticate sets the deadline and the configuration snapshot of a request and
+// identifies its team by the key.
 func (h *Handler) authenticate(r *http.Request, req *request) *Problem {
 	req.deadline = time.Now().Add(h.timeout(r))
 	req.snapshot = h.Configuration.Snapshot()
@@ -26,18 +28,18 @@
 		return newProblem(http.StatusUnauthorized, TypeMissingKey, NotRun, "send the team's key as Authorization: Bearer KEY")
 	}
 	if strings.Contains(r.URL.RawQuery, key) {
-		// The query is passed on to services, which must not see the key.
+		// The query is forwarded to services, which must not see the key.
 		return newProblem(http.StatusBadRequest, TypeMalformed, NotRun, "the key must not stand in the query")
 	}
-	req.digest = configstate.DigestKey(key)
+	req.keyDigest = configstate.DigestKey(key)
 	return h.checkKey(req)
 }
 
-// checkKey looks the key up in the configuration in force now. It is called at
-// arrival and again before dispatch: a key that is withdrawn while its request
-// waits must not reach an upstream.
+// checkKey looks the key up in the configuration that is in force at the time of the
+// call. It runs on arrival and again before dispatch: if a key is withdrawn while its
+// request waits, the request must not reach an upstream.
 func (h *Handler) checkKey(req *request) *Problem {
-	holder, err := h.Configuration.Snapshot().Authenticate(req.digest)
+	holder, err := h.Configuration.Snapshot().Authenticate(req.keyDigest)
 	switch {
 	case errors.Is(err, configstate.ErrKeyWithdrawn):
 		return newProblem(http.StatusUnauthorized, TypeWithdrawnKey, NotRun, "this key was withdrawn")
@@ -48,11 +50,12 @@
 	return nil
 }
 
-// mayRun is asked in the moment of dispatch, after any time in a queue: a key that
-// was withdrawn meanwhile, or a VM that could not know of it, sends nothing on.
-func (h *Handler) mayRun(req *request) error {
+// checkBeforeDispatch runs at the moment of dispatch, after any time in a queue. It
+// refuses the request if its key was withdrawn meanwhile, or if this VM's
+// configuration may be too stale to contain such a withdrawal.
+func (h *Handler) checkBeforeDispatch(req *request) error {
 	if !h.Configuration.Fresh() {
-		return newProblem(http.StatusServiceUnavailable, TypeNotReady, NotRun, "this VM may not know of withdrawn keys").retryAfter(busyRetry)
+		return newProblem(http.StatusServiceUnavailable, TypeNotReady, NotRun, "this VM may not know of withdrawn keys").retryAfter(defaultRetryAfter)
 	}
 	if problem := h.checkKey(req); problem != nil {
 		return problem
@@ -60,6 +63,8 @@
 	return nil
 }
 
+// timeout returns the time allowed for a request: the caller's, at most
+// Limits.RequestTimeout.
 func (h *Handler) timeout(r *http.Request) time.Duration {
 	ms, err := strconv.ParseInt(r.Header.Get(HeaderTimeout), 10, 32)
 	if err != nil || ms <= 0 {
--- a/internal/caller/bench_test.go
+++ b/internal/caller/bench_test.go
@@ -14,12 +14,12 @@
 	"time"
 )
 
-// benchEvents is the length of a stream in the benchmarks.
+// benchEvents is the number of events of a stream in the benchmarks.
 const benchEvents = 16
 
-// post makes one streamed completion and reads it. It returns the time to the
-// first event and to the end.
-func post(client *http.Client, url string) (first, whole time.Duration, err error) {
+// streamCompletion sends one streamed completion and reads it. It returns the time to
+// the first event and to the end.
+func streamCompletion(client *http.Client, url string) (first, whole time.Duration, err error) {
 	body := fmt.Sprintf(completionBody, true, "x")
 	req, err := http.NewRequest("POST", url+completionPath, strings.NewReader(body))
 	if err != nil {
@@ -48,9 +48,9 @@
 	return first, time.Since(start), err
 }
 
-// paced makes requests at a rate, whether answers have come or not, and reports
-// percentiles of the time to the first event and to the whole answer.
-func paced(b *testing.B, url string, perSecond int) {
+// runAtRate sends requests at a fixed rate, independent of the answers (open loop), and
+// reports percentiles of the time to the first event and to the complete answer.
+func runAtRate(b *testing.B, url string, perSecond int) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	firsts, wholes := make([]time.Duration, b.N), make([]time.Duration, b.N)
 	var wg sync.WaitGroup
@@ -61,7 +61,7 @@
 		time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / time.Duration(perSecond))))
 		wg.Go(func() {
 			var err error
-			if firsts[i], wholes[i], err = post(client, url); err != nil {
+			if firsts[i], wholes[i], err = streamCompletion(client, url); err != nil {
 				b.Error(err)
 			}
 		})
@@ -75,22 +75,22 @@
 	}
 }
 
-// BenchmarkPaced compares an engine that is asked directly with one that is asked
-// through an entry VM, both over loopback in this process, at 500 requests a
-// second. The difference is what the VM adds.
+// BenchmarkPaced compares direct requests to an engine with requests through an entry
+// VM, both over loopback in this process, at 500 requests per second. The difference is
+// the overhead of the VM.
 func BenchmarkPaced(b *testing.B) {
 	const perSecond = 500
 	u := newUpstream(b)
 	u.events = benchEvents
-	b.Run("direct", func(b *testing.B) { paced(b, u.URL, perSecond) })
+	b.Run("direct", func(b *testing.B) { runAtRate(b, u.URL, perSecond) })
 	b.Run("entry", func(b *testing.B) {
 		f := newFleet(b, 1, 1<<20, u.URL)
 		b.ResetTimer()
-		paced(b, f.vms[0].URL, perSecond)
+		runAtRate(b, f.vms[0].URL, perSecond)
 	})
 }
 
-// BenchmarkSaturated makes requests one after the other on each processor.
+// BenchmarkSaturated sends back-to-back requests on each processor.
 func BenchmarkSaturated(b *testing.B) {
 	u := newUpstream(b)
 	u.events = benchEvents
@@ -99,7 +99,7 @@
 		b.ReportAllocs()
 		b.RunParallel(func(pb *testing.PB) {
 			for pb.Next() {
-				if _, _, err := post(client, url); err != nil {
+				if _, _, err := streamCompletion(client, url); err != nil {
 					b.Error(err)
 					return
 				}
@@ -110,8 +110,8 @@
 	b.Run("entry", func(b *testing.B) { run(b, newFleet(b, 1, 1<<20, u.URL).vms[0].URL) })
 }
 
-// BenchmarkOpenStreams reports the memory that a stream takes which is open and
-// quiet, over what the caller's and the engine's ends take in this process.
+// BenchmarkOpenStreams reports the memory of an open idle stream in the VM. The memory
+// of the caller's and the engine's ends, which run in this process too, is subtracted.
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 500
 	u := newUpstream(b)
@@ -125,12 +125,12 @@
 	close(u.hold)
 }
 
-// openStreams opens streams and returns the memory that is in use by them.
+// openStreams opens n streams and returns the memory that they use, in bytes.
 func openStreams(b *testing.B, url string, n int) float64 {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	before := inUse()
+	before := memoryInUse()
 	for range n {
 		req, err := http.NewRequestWithContext(ctx, "POST", url+completionPath, strings.NewReader(fmt.Sprintf(completionBody, true, "x")))
 		if err != nil {
@@ -144,10 +144,11 @@
 		}
 		defer resp.Body.Close()
 	}
-	return inUse() - before
+	return memoryInUse() - before
 }
 
-func inUse() float64 {
+// memoryInUse returns the bytes of heap and stack in use after a garbage collection.
+func memoryInUse() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -8,36 +8,37 @@
 )
 
 var (
-	// errNotObject means that a body is not a JSON object.
+	// errNotObject means that the body is not a JSON object.
 	errNotObject = errors.New("the body is not a JSON object")
-	// errField means that a field has a wrong type or value.
-	errField = errors.New("wrong value")
-	// errMissing means that a field is missing.
-	errMissing = errors.New(`"model" and "messages" or "prompt" are required`)
+	// errInvalidField means that a field has the wrong type or an invalid value.
+	errInvalidField = errors.New("wrong value")
+	// errMissingField means that a required field is missing.
+	errMissingField = errors.New(`"model" and "messages" or "prompt" are required`)
 )
 
 const (
-	// defaultMaxTokens is charged for the answer, and asked of the engine, if the
-	// caller names no limit. Without it an engine would go on for as long as the
-	// model does, and what it makes beyond the charge would be more than the team's
-	// rate.
+	// defaultMaxTokens is charged for the answer, and sent to the engine as the limit,
+	// if the caller sets no limit. Without it an engine would generate until the model
+	// stops, and the tokens beyond the charge would exceed the team's rate.
 	defaultMaxTokens = 256
-	// maxMaxTokens bounds what a caller may ask for.
+	// maxMaxTokens is the largest max_tokens that a caller may set.
 	maxMaxTokens = 1 << 20
 )
 
-// completionRequest is what is looked at in an OpenAI-style request.
+// completionRequest holds the fields of an OpenAI-style request that are evaluated
+// here.
 type completionRequest struct {
 	Model  string
 	Stream bool
-	// MaxTokens bounds each answer, Answers is how many are made.
-	MaxTokens, Answers int64
+	// MaxTokens bounds the length of each choice. Choices is how many the engine
+	// generates.
+	MaxTokens, Choices int64
 	Prompt, Messages   json.RawMessage
 
 	fields map[string]json.RawMessage
 }
 
-// prompt is the raw JSON of the prompt or of the messages.
+// prompt returns the raw JSON of the messages or, without any, of the prompt.
 func (c *completionRequest) prompt() json.RawMessage {
 	if len(c.Messages) > 0 {
 		return c.Messages
@@ -45,60 +46,61 @@
 	return c.Prompt
 }
 
-// parseCompletion reads a body. Names are compared exactly: decoding into a struct
-// would take "MAX_TOKENS" for "max_tokens", and the limit that is charged would not be
-// the one that the engine reads.
+// parseCompletion parses a request body. Field names are matched exactly: decoding
+// into a struct would accept "MAX_TOKENS" as "max_tokens", and the limit that is
+// charged could differ from the one that the engine reads.
 func parseCompletion(body []byte) (*completionRequest, error) {
-	c := &completionRequest{Answers: 1}
+	c := &completionRequest{Choices: 1}
 	if err := json.Unmarshal(body, &c.fields); err != nil || c.fields == nil {
 		return nil, errNotObject
 	}
 	c.Prompt, c.Messages = c.fields["prompt"], c.fields["messages"]
-	var n, bestOf, newer int64
-	for name, into := range map[string]any{
+	var n, bestOf, maxCompletion int64
+	for name, target := range map[string]any{
 		"model": &c.Model, "stream": &c.Stream, "max_tokens": &c.MaxTokens,
-		"max_completion_tokens": &newer, "n": &n, "best_of": &bestOf,
+		"max_completion_tokens": &maxCompletion, "n": &n, "best_of": &bestOf,
 	} {
-		raw, given := c.fields[name]
-		if !given {
+		raw, present := c.fields[name]
+		if !present {
 			continue
 		}
-		if err := json.Unmarshal(raw, into); err != nil {
-			return nil, errors.Wrap(errField, name)
+		if err := json.Unmarshal(raw, target); err != nil {
+			return nil, errors.Wrap(errInvalidField, name)
 		}
 	}
 	if c.Model == "" || len(c.prompt()) == 0 {
-		return nil, errMissing
+		return nil, errMissingField
 	}
-	return c, c.limit(newer, n, bestOf)
+	return c, c.normalizeLimits(maxCompletion, n, bestOf)
 }
 
-// limit joins the fields that bound the answer.
-func (c *completionRequest) limit(newer, n, bestOf int64) error {
-	if c.MaxTokens < 0 || newer < 0 || max(c.MaxTokens, newer) > maxMaxTokens {
-		return errors.Wrap(errField, "max_tokens")
+// normalizeLimits validates the fields that bound the answer and merges them into
+// MaxTokens and Choices.
+func (c *completionRequest) normalizeLimits(maxCompletion, n, bestOf int64) error {
+	if c.MaxTokens < 0 || maxCompletion < 0 || max(c.MaxTokens, maxCompletion) > maxMaxTokens {
+		return errors.Wrap(errInvalidField, "max_tokens")
 	}
 	if n < 0 || bestOf < 0 || max(n, bestOf) > maxChoices {
-		return errors.Wrap(errField, "n")
+		return errors.Wrap(errInvalidField, "n")
 	}
-	c.MaxTokens = max(c.MaxTokens, newer)
+	c.MaxTokens = max(c.MaxTokens, maxCompletion)
 	if c.MaxTokens == 0 {
 		c.MaxTokens = defaultMaxTokens
 		c.fields["max_tokens"] = json.RawMessage(strconv.Itoa(defaultMaxTokens))
 	}
-	c.Answers = max(1, n, bestOf)
+	c.Choices = max(1, n, bestOf)
 	return nil
 }
 
-// forEngine returns the body for an engine: each field once, and a stream in any
-// case, so that a broken answer is noticed and can be resumed also for callers that
-// want it in one piece. What was read is given up: a waiting request holds its body
-// once.
-func (c *completionRequest) forEngine() []byte {
+// engineBody returns the body for an engine. Each field occurs once. The answer is
+// always requested as a stream, so that a broken one is detected and can be resumed
+// even if the caller does not stream. The parsed fields are released, so that a
+// waiting request holds only one copy of its body.
+func (c *completionRequest) engineBody() []byte {
 	c.fields["stream"] = json.RawMessage("true")
 	body, err := json.Marshal(c.fields)
 	if err != nil {
-		// The fields are JSON that has just been read.
+		// The fields are JSON that has just been parsed.
 		panic(err)
 	}
 	c.fields, c.Prompt, c.Messages = nil, nil, nil
--- a/internal/caller/body_test.go
+++ b/internal/caller/body_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A caller hides a large limit behind a small one that is spelt otherwise or comes
-// twice, asks for many answers, or names no limit. What is charged must be at least
-// what the engine is asked for, or his team gets more than its rate.
-func TestWhatIsChargedIsWhatTheEngineMayMake(t *testing.T) {
+// Guards against undercharging: a body hides a large limit behind a small one that is
+// spelled differently or repeated, asks for many choices, or sets no limit. The charge
+// must be at least what the engine is asked for, or the team exceeds its rate.
+func TestChargeCoversWhatTheEngineMayGenerate(t *testing.T) {
 	for body, want := range map[string]int64{
 		`{"model":"m","prompt":"x","max_tokens":1000,"MAX_TOKENS":1}`:                1000,
 		`{"model":"m","prompt":"x","max_tokens":1,"max_tokens":1000}`:                1000,
@@ -22,9 +22,9 @@
 	} {
 		c, err := parseCompletion([]byte(body))
 		require.NoError(t, err, body)
-		require.Equal(t, promptTokens(c)+want, estimateTokens(c), body)
+		require.Equal(t, estimatePromptTokens(c)+want, estimateTokens(c), body)
 		var sent map[string]any
-		require.NoError(t, json.Unmarshal(c.forEngine(), &sent))
+		require.NoError(t, json.Unmarshal(c.engineBody(), &sent))
 		require.Equal(t, true, sent["stream"])
 		require.NotNil(t, sent["max_tokens"], body)
 	}
@@ -34,8 +34,8 @@
 	}
 }
 
-// FuzzParseCompletion feeds bodies from outside. What is accepted must have a charge,
-// and must reach the engine as a stream with the limit that was charged.
+// FuzzParseCompletion parses arbitrary bodies. An accepted body must have a charge and
+// must be sent to the engine as a stream with the limits that were charged.
 func FuzzParseCompletion(f *testing.F) {
 	f.Add([]byte(`{"model":"m","prompt":"x","max_tokens":5}`))
 	f.Add([]byte(`{"model":"m","messages":[],"n":3}`))
@@ -47,11 +47,11 @@
 		}
 		cost := estimateTokens(c)
 		require.Positive(t, cost)
-		again, err := parseCompletion(c.forEngine())
+		reparsed, err := parseCompletion(c.engineBody())
 		require.NoError(t, err)
-		require.True(t, again.Stream)
-		require.GreaterOrEqual(t, cost, again.MaxTokens*again.Answers)
-		require.Equal(t, c.MaxTokens, again.MaxTokens)
-		require.Equal(t, c.Answers, again.Answers)
+		require.True(t, reparsed.Stream)
+		require.GreaterOrEqual(t, cost, reparsed.MaxTokens*reparsed.Choices)
+		require.Equal(t, c.MaxTokens, reparsed.MaxTokens)
+		require.Equal(t, c.Choices, reparsed.Choices)
 	})
 }
--- a/internal/caller/collect.go
+++ b/internal/caller/collect.go
@@ -12,11 +12,12 @@
 	"github.com/chestnutarch/chestnutarch/internal/relay"
 )
 
-// maxCollectedBytes bounds an answer that is not streamed.
+// maxCollectedBytes bounds the event data of an answer that is not streamed.
 const maxCollectedBytes = 4 << 20
 
-// errTooLong means that an answer is too long to be given in one piece.
-var errTooLong = errors.New("caller: answer too long to be given in one piece")
+// errAnswerTooLong means that an answer exceeds maxCollectedBytes and cannot be
+// returned unstreamed.
+var errAnswerTooLong = errors.New("caller: answer too long to be given in one piece")
 
 // chunk is one event of an OpenAI-style stream.
 type chunk struct {
@@ -38,7 +39,7 @@
 	Content string `json:"content"`
 }
 
-// completionAnswer is an answer that is not streamed.
+// completionAnswer is the body of an answer that is not streamed.
 type completionAnswer struct {
 	ID      string         `json:"id"`
 	Object  string         `json:"object"`
@@ -61,7 +62,7 @@
 	TotalTokens      int64 `json:"total_tokens"`
 }
 
-// collector gathers a stream into one answer, for callers that do not stream. It
+// collector assembles a stream into one answer for callers that do not stream. It
 // implements relay.Sink.
 type collector struct {
 	answer completionAnswer
@@ -71,7 +72,7 @@
 	err    error
 }
 
-// newCollector returns a collector for an engine's path.
+// newCollector returns a collector for the answers of an engine's path.
 func newCollector(id, path string) *collector {
 	c := &collector{chat: strings.HasSuffix(path, "/chat/completions")}
 	c.answer = completionAnswer{ID: id, Object: "text_completion", Created: time.Now().Unix()}
@@ -81,17 +82,17 @@
 	return c
 }
 
-// Attach does nothing: nothing is shown before the answer is whole.
+// Attach does nothing: nothing is written before the answer is complete.
 func (*collector) Attach(relay.Place) error { return nil }
 
-// Event takes one event in.
+// Event adds one event to the answer.
 func (c *collector) Event(e engine.Event) error {
 	if e.Done || c.err != nil {
 		return c.err
 	}
 	c.size += len(e.Data)
 	if c.size > maxCollectedBytes {
-		c.err = errTooLong
+		c.err = errAnswerTooLong
 		return c.err
 	}
 	var part chunk
@@ -109,15 +110,15 @@
 		c.answer.Usage.CompletionTokens++
 	}
 	for _, choice := range part.Choices {
-		c.add(choice)
+		c.addChoice(choice)
 	}
 	return nil
 }
 
-// maxChoices bounds the alternatives in one answer.
+// maxChoices bounds the choices of one answer.
 const maxChoices = 128
 
-func (c *collector) add(part chunkChoice) {
+func (c *collector) addChoice(part chunkChoice) {
 	if part.Index < 0 || part.Index >= maxChoices {
 		return
 	}
@@ -131,10 +132,10 @@
 	}
 }
 
-// write gives the whole answer.
+// write writes the complete answer.
 func (c *collector) write(w http.ResponseWriter) {
 	if len(c.texts) == 0 {
-		c.add(chunkChoice{})
+		c.addChoice(chunkChoice{})
 	}
 	for i, t := range c.texts {
 		text := t.String()
--- a/internal/caller/completions_test.go
+++ b/internal/caller/completions_test.go
@@ -14,7 +14,7 @@
 	"github.com/chestnutarch/chestnutarch/internal/configstate"
 )
 
-func TestStreamAndWholeAnswer(t *testing.T) {
+func TestStreamedAndCollectedAnswers(t *testing.T) {
 	u := newUpstream(t)
 	f := newFleet(t, 1, 64, u.URL)
 	a := f.call(t, 0, "POST", completionPath, "key-one", fmt.Sprintf(completionBody, true, "x"))
@@ -28,8 +28,8 @@
 	require.Contains(t, a.body, ".5 ")
 }
 
-// Two callers of different teams choose the same request ID at the same time. If
-// the engine's stream had that name too, one would read the other's text.
+// Two callers of different teams use the same request ID at the same time. If it also
+// identified the stream at the engine, one caller would receive the other's text.
 func TestSameRequestIDDoesNotCrossAnswers(t *testing.T) {
 	u := newUpstream(t)
 	f := newFleet(t, 1, 64, u.URL)
@@ -45,9 +45,9 @@
 	require.NotEqual(t, answers[0].texts[0], answers[1].texts[0])
 }
 
-// The engine's connection breaks again and again, and the engine has even
-// forgotten the stream. The caller must see one text without gap or repeat.
-func TestBrokenStreamsGoOn(t *testing.T) {
+// The connections to the engines break, with and without the engines losing the stream.
+// The caller must receive one text without gaps or repeats.
+func TestBrokenStreamsAreResumed(t *testing.T) {
 	for _, forget := range []bool{false, true} {
 		u, v := newUpstream(t), newUpstream(t)
 		for _, e := range []*upstream{u, v} {
@@ -63,9 +63,9 @@
 	}
 }
 
-// Every engine has lost the stream. What came so far must not look whole, and the
-// caller must be told that it is not.
-func TestStreamThatIsLostSaysSo(t *testing.T) {
+// Every engine has lost the stream. The partial answer must not look complete, and the
+// caller must receive an error.
+func TestLostStreamEndsWithAnError(t *testing.T) {
 	u := newUpstream(t)
 	u.events, u.breakAfter, u.breaks, u.forget = 50, 2, 1000, true
 	f := newFleet(t, 1, 64, u.URL)
@@ -77,10 +77,10 @@
 	require.Equal(t, Unknown, a.problem(t).Outcome)
 }
 
-// The caller's VM is gone. He goes on at another one from the last event that he
-// has; nobody else may, and a changed event ID is refused. If the engine has lost the
-// stream, he is told so, and sends his request again.
-func TestStreamsAreResumedAtAnotherVMByTheirTeam(t *testing.T) {
+// A caller whose VM is gone resumes its stream at another VM from its last event, either
+// by reading the stream or by sending the request again. Another team and a modified event ID are
+// refused. If the engine has lost the stream, reading it fails as unknown_stream.
+func TestStreamsResumeAtAnotherVMForTheirTeamOnly(t *testing.T) {
 	u := newUpstream(t)
 	f := newFleet(t, 2, 64, u.URL)
 	first := f.call(t, 0, "POST", completionPath, "key-one", fmt.Sprintf(completionBody, true, "x"))
@@ -88,7 +88,7 @@
 	require.Equal(t, first.texts[2:], rest.texts)
 	again := f.call(t, 1, "POST", completionPath, "key-one", fmt.Sprintf(completionBody, true, "x"), headerLastEventID, first.ids[1])
 	require.Equal(t, first.texts[2:], again.texts)
-	u.set(func() { u.forget = true })
+	u.update(func() { u.forget = true })
 	lost := f.call(t, 1, "GET", "/v1/streams", "key-one", "", headerLastEventID, first.ids[1])
 	require.Equal(t, TypeUnknownStream, lost.problem(t).Type)
 	foreign := f.call(t, 1, "GET", "/v1/streams", "key-two", "", headerLastEventID, first.ids[1])
@@ -97,8 +97,8 @@
 	require.Equal(t, TypeBadEventID, forged.problem(t).Type)
 }
 
-// A request waits because the engine is full, and its key is withdrawn meanwhile.
-// The engine must never see it. A request that runs already is not touched.
+// A key is withdrawn while a request with it waits for a full engine. That request must
+// not reach the engine. A request that already runs is not affected.
 func TestKeyWithdrawnWhileWaiting(t *testing.T) {
 	u := newUpstream(t)
 	u.hold = make(chan struct{})
@@ -122,27 +122,27 @@
 	require.Zero(t, u.count("waiting"))
 }
 
-// Bodies of unknown length that never end, and more bodies than the VM can hold,
-// must not take its memory.
+// A body over the size limit, and more bodies than the VM may buffer, must not exhaust
+// the VM's memory.
 func TestBodiesAreBounded(t *testing.T) {
 	u := newUpstream(t)
 	f := newFleet(t, 1, 64, u.URL)
 	body := `{"model":"m","prompt":"` + strings.Repeat("x", 1<<20) + `"}`
 	a := f.call(t, 0, "POST", completionPath, "key-one", body)
 	require.Equal(t, http.StatusRequestEntityTooLarge, a.status)
-	var m memory
+	var m bodyMemory
 	require.True(t, m.reserve(maxBufferedBytes))
 	require.False(t, m.reserve(1))
 	m.release(maxBufferedBytes)
 	require.True(t, m.reserve(1))
 }
 
-// A caller asks for a stream and stops reading. His engine's place must not be held
-// until his deadline; the engine is told to stop after the grace time.
-func TestCallerWhoDoesNotReadIsLeft(t *testing.T) {
+// A caller requests a stream and stops reading. The stream must not occupy the engine
+// until the request's deadline: it is cancelled at the engine after the grace time.
+func TestStreamOfStalledCallerIsCancelled(t *testing.T) {
 	u := newUpstream(t)
 	u.events, u.padding = 4000, strings.Repeat("x", 8<<10)
-	f := newPacedFleet(t, 1, 64, pacing{heartbeat: time.Second, writeTimeout: 50 * time.Millisecond}, u.URL)
+	f := newFleetWithTiming(t, 1, 64, streamTiming{heartbeat: time.Second, writeTimeout: 50 * time.Millisecond}, u.URL)
 	conn, err := net.Dial("tcp", f.vms[0].Listener.Addr().String())
 	require.NoError(t, err)
 	defer conn.Close()
@@ -152,12 +152,12 @@
 	require.Eventually(t, func() bool { return u.cancels.Load() == 1 }, 10*time.Second, 5*time.Millisecond)
 }
 
-// Nothing happens for a while, since the engine thinks. The caller hears that his
-// connection is alive.
-func TestQuietStreamsCarryHeartbeats(t *testing.T) {
+// The engine sends no events for a while. The caller must receive heartbeats, which show
+// that the connection is alive.
+func TestIdleStreamsCarryHeartbeats(t *testing.T) {
 	u := newUpstream(t)
 	u.hold = make(chan struct{})
-	f := newPacedFleet(t, 1, 64, pacing{heartbeat: 5 * time.Millisecond, writeTimeout: time.Second}, u.URL)
+	f := newFleetWithTiming(t, 1, 64, streamTiming{heartbeat: 5 * time.Millisecond, writeTimeout: time.Second}, u.URL)
 	time.AfterFunc(100*time.Millisecond, func() { close(u.hold) })
 	a := f.call(t, 0, "POST", completionPath, "key-one", fmt.Sprintf(completionBody, true, "x"))
 	require.Contains(t, a.body, ": heartbeat\n\n")
--- a/internal/caller/doc.go
+++ b/internal/caller/doc.go
@@ -1,5 +1,5 @@
-// Package caller serves the callers' HTTP API: address answers, completions,
-// streams and service calls, as docs/CALLERS.md and docs/PROTOCOLS.md give
-// them. It checks keys, takes tokens from the team's rate, asks the routing
-// decision for an upstream and passes the answer on.
+// Package caller implements the callers' HTTP API: entry addresses, completions,
+// streams and service calls, as specified in docs/CALLERS.md and
+// docs/PROTOCOLS.md. It authenticates requests, charges them to the team's rate,
+// acquires an upstream and relays the answer.
 package caller
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -20,28 +20,32 @@
 	"github.com/chestnutarch/chestnutarch/internal/telemetry"
 )
 
-// Limits bounds what one VM takes on.
+// Limits bounds the requests that one VM accepts.
 type Limits struct {
-	// MaxBodyBytes bounds a request's body.
+	// MaxBodyBytes bounds the size of a request's body.
 	MaxBodyBytes int64
-	// MaxInFlight bounds the requests that run or wait at once.
+	// MaxInFlight bounds the number of requests that run or wait at the same time.
 	MaxInFlight int
-	// RequestTimeout bounds a request that names no deadline.
+	// RequestTimeout is the timeout of a request without a deadline, and the upper
+	// bound for one with a deadline.
 	RequestTimeout time.Duration
 }
 
-// Options is what a Handler works with. Every field but Offered and Judged is required.
+// Options configures a Handler. All fields except RecordDemand and RecordCompletion
+// are required.
 type Options struct {
 	Configuration Configuration
 	Limiter       ratelimit.Limiter
-	// Offered is told of what callers ask for, admitted or not, in tokens.
-	Offered func(model, adapter string, tokens int64)
-	// Judged is told of each admitted completion that has ended: whether it kept
-	// to the latency objectives and whether it failed.
-	Judged func(attained, failed bool)
-	// VM is this VM's name, which stands in resume tokens.
+	// RecordDemand is called with the model, the adapter and the estimated tokens of
+	// each completion request, whether it is admitted or not. The default does nothing.
+	RecordDemand func(model, adapter string, tokens int64)
+	// RecordCompletion is called when an admitted completion ends. It gets whether
+	// the completion met the latency objectives and whether it failed. The default
+	// does nothing.
+	RecordCompletion func(metObjectives, failed bool)
+	// VM is this VM's name, which is part of resume tokens.
 	VM string
-	// Models gives engines, Pools gives replicas of plain services.
+	// Models grants access to engines, Pools to replicas of plain services.
 	Models    Upstreams
 	Pools     Upstreams
 	Relay     *relay.Relay
@@ -50,7 +54,7 @@
 	Claims    Claims
 	Addresses Addresses
 	Readiness Readiness
-	// Leaving reports whether this VM is stopping.
+	// Leaving reports whether this VM is shutting down.
 	Leaving  func() bool
 	Services *service.Client
 	Limits   Limits
@@ -61,38 +65,38 @@
 // Handler serves the callers' API.
 type Handler struct {
 	Options
-	slots    chan struct{}
-	requests metrics.Timer
-	memory   memory
-	retries  retries
-	pacing   pacing
-	mux      http.Handler
+	slots       chan struct{}
+	requests    metrics.Timer
+	bodyMemory  bodyMemory
+	retryBudget retryBudget
+	timing      streamTiming
+	mux         http.Handler
 }
 
-// NewHandler returns the callers' API.
+// NewHandler returns a handler for the callers' API.
 func NewHandler(o Options) *Handler {
-	if o.Offered == nil {
-		o.Offered = func(string, string, int64) {}
+	if o.RecordDemand == nil {
+		o.RecordDemand = func(string, string, int64) {}
 	}
-	if o.Judged == nil {
-		o.Judged = func(bool, bool) {}
+	if o.RecordCompletion == nil {
+		o.RecordCompletion = func(bool, bool) {}
 	}
 	h := &Handler{
 		Options:  o,
 		slots:    make(chan struct{}, o.Limits.MaxInFlight),
 		requests: telemetry.NewTimer(o.Metrics, "caller.requests"),
-		pacing:   pacing{heartbeat: defaultHeartbeat, writeTimeout: defaultWriteTimeout},
+		timing:   streamTiming{heartbeat: defaultHeartbeat, writeTimeout: defaultWriteTimeout},
 	}
-	h.retries.budget = route.NewBudget(time.Now())
+	h.retryBudget.budget = route.NewBudget(time.Now())
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", h.health)
 	mux.HandleFunc("GET /readyz", h.ready)
 	mux.HandleFunc("GET /v1/addresses", h.addresses)
 	mux.Handle("GET /v1/models", h.authenticated(h.models))
-	mux.Handle("POST /v1/completions", h.work(h.completions))
-	mux.Handle("POST /v1/chat/completions", h.work(h.completions))
-	mux.Handle("GET /v1/streams", h.work(h.streams))
-	mux.Handle("/services/", h.work(h.services))
+	mux.Handle("POST /v1/completions", h.admitted(h.completions))
+	mux.Handle("POST /v1/chat/completions", h.admitted(h.completions))
+	mux.Handle("GET /v1/streams", h.admitted(h.streams))
+	mux.Handle("/services/", h.admitted(h.services))
 	h.mux = otelhttp.NewHandler(mux, "caller", otelhttp.WithSpanNameFormatter(spanName))
 	return h
 }
@@ -102,29 +106,30 @@
 // ServeHTTP serves one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
-// InFlight returns the number of requests that run or wait.
+// InFlight returns the number of requests for upstreams that run or wait.
 func (h *Handler) InFlight() int { return len(h.slots) }
 
-// request is what is known of one authenticated request.
+// request is the state of one authenticated request.
 type request struct {
-	// id is the caller's, or one of ours. It is echoed.
+	// id is the caller's request ID, or a generated one. It is echoed to the caller.
 	id string
-	// stream is our own ID of the exchange with upstreams.
-	stream   string
-	holder   configstate.Holder
-	digest   string
-	snapshot *configstate.Snapshot
-	deadline time.Time
+	// streamID is the generated ID that is used towards upstreams.
+	streamID  string
+	holder    configstate.Holder
+	keyDigest string
+	snapshot  *configstate.Snapshot
+	deadline  time.Time
 }
 
-// handlerFunc serves a request. The returned problem is nil if the answer has
-// been written.
+// handlerFunc serves a request. It returns nil if it has written a complete answer. A
+// problem with the status 0 is only logged.
 type handlerFunc func(w http.ResponseWriter, r *http.Request, req *request) *Problem
 
-// HeaderRequestID carries the request ID both ways.
+// HeaderRequestID is the header with the request ID, in requests and in answers.
 const HeaderRequestID = "X-Request-Id"
 
-// maxRequestIDBytes bounds what a caller may choose as request ID.
+// maxRequestIDBytes bounds the length of a caller's request ID. A longer one is
+// replaced.
 const maxRequestIDBytes = 128
 
 func requestID(r *http.Request) string {
@@ -135,20 +140,22 @@
 	return id
 }
 
-// authenticated checks the key, serves the request and logs one event.
+// authenticated returns a handler that checks the key, serves the request and writes
+// one log line.
 func (h *Handler) authenticated(serve handlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		start := time.Now()
-		req := &request{id: requestID(r), stream: uuid.NewString()}
+		req := &request{id: requestID(r), streamID: uuid.NewString()}
 		w.Header().Set(HeaderRequestID, req.id)
 		if h.Leaving() {
-			// The caller then connects to a VM that stays. One that kept this
-			// connection could be sending its next request when it is closed.
+			// Makes the caller connect to another VM for its next request. If it
+			// kept this connection, it could send a request just as the connection
+			// is closed.
 			w.Header().Set("Connection", "close")
 		}
 		problem := h.authenticate(r, req)
 		if problem == nil {
-			problem = h.serveBounded(serve, w, r, req)
+			problem = h.serveWithLimits(serve, w, r, req)
 		}
 		if problem != nil && problem.Status != 0 {
 			problem.write(w, req.id)
@@ -158,7 +165,7 @@
 	})
 }
 
-func (h *Handler) serveBounded(serve handlerFunc, w http.ResponseWriter, r *http.Request, req *request) *Problem {
+func (h *Handler) serveWithLimits(serve handlerFunc, w http.ResponseWriter, r *http.Request, req *request) *Problem {
 	ctx, cancel := context.WithDeadline(r.Context(), req.deadline)
 	defer cancel()
 	r = r.WithContext(ctx)
@@ -166,9 +173,9 @@
 	return serve(w, r, req)
 }
 
-// work is authenticated, for requests that need an upstream: it refuses them
-// while this VM may take no new work or has no room.
-func (h *Handler) work(serve handlerFunc) http.Handler {
+// admitted is like authenticated, for requests that need an upstream: it refuses them
+// while this VM is not ready or has Limits.MaxInFlight requests in flight.
+func (h *Handler) admitted(serve handlerFunc) http.Handler {
 	return h.authenticated(func(w http.ResponseWriter, r *http.Request, req *request) *Problem {
 		if err := h.Readiness.Ready(); err != nil {
 			return newProblem(http.StatusServiceUnavailable, TypeNotReady, NotRun, err.Error()).retryAfter(time.Second)
--- a/internal/caller/harness_test.go
+++ b/internal/caller/harness_test.go
@@ -32,42 +32,42 @@
 	"github.com/chestnutarch/chestnutarch/internal/service"
 )
 
-// upstream is one server that stands for an engine and a plain service. It counts
-// what it runs, completions by their "user" and actions by their body, and may break.
+// upstream is a test server that acts as an engine and as a plain service. It counts
+// the completions by "user" and the actions by body, and injects faults.
 type upstream struct {
 	*httptest.Server
 	mu      sync.Mutex
 	runs    map[string]int
 	streams map[string]int
 	headers http.Header
-	// events is the length of every stream. After breakAfter events of its own an
-	// exchange is reset, once for each count in breaks.
+	// events is the length of every stream. A response is reset after breakAfter
+	// events, breaks times in total.
 	events, breakAfter, breaks int
-	// forget answers 404 to a resume.
+	// forget makes resumes answer 404.
 	forget bool
-	// hold keeps streams open after their first event until it is closed.
+	// hold blocks streams after their first event until the channel is closed.
 	hold chan struct{}
-	// drop closes a service's connection after it has run.
+	// drop closes the connection of a service call after it has run.
 	drop bool
-	// padding is added to every event.
+	// padding is appended to the text of every event.
 	padding string
-	// cancels counts the streams that were told to stop.
+	// cancels counts the calls that cancel a stream.
 	cancels atomic.Int64
 }
 
 func newUpstream(t testing.TB) *upstream {
 	u := &upstream{runs: make(map[string]int), streams: make(map[string]int), events: 5}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/completions", u.complete)
-	mux.HandleFunc("GET /v1/streams/{id}", u.resume)
+	mux.HandleFunc("POST /v1/completions", u.handleCompletion)
+	mux.HandleFunc("GET /v1/streams/{id}", u.handleResume)
 	mux.HandleFunc("POST /v1/streams/{id}/cancel", func(http.ResponseWriter, *http.Request) { u.cancels.Add(1) })
-	mux.HandleFunc("/filings", u.file)
+	mux.HandleFunc("/filings", u.handleFiling)
 	u.Server = httptest.NewServer(mux)
 	t.Cleanup(u.Close)
 	return u
 }
 
-func (u *upstream) complete(w http.ResponseWriter, r *http.Request) {
+func (u *upstream) handleCompletion(w http.ResponseWriter, r *http.Request) {
 	var body struct{ User string }
 	_ = json.NewDecoder(r.Body).Decode(&body)
 	u.mu.Lock()
@@ -77,7 +77,7 @@
 	u.stream(w, r, r.Header.Get("X-Request-Id"))
 }
 
-func (u *upstream) resume(w http.ResponseWriter, r *http.Request) {
+func (u *upstream) handleResume(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Request-Id", r.PathValue("id"))
 	u.mu.Lock()
 	forget := u.forget
@@ -103,28 +103,28 @@
 				return
 			}
 		}
-		if n-after == u.breakAfter && u.breaksNow() {
+		if n-after == u.breakAfter && u.shouldBreak() {
 			panic(http.ErrAbortHandler)
 		}
 	}
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-// set changes what the upstream does.
-func (u *upstream) set(change func()) {
+// update changes the upstream's behaviour under its lock.
+func (u *upstream) update(change func()) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	change()
 }
 
-func (u *upstream) breaksNow() bool {
+func (u *upstream) shouldBreak() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.breaks--
 	return u.breaks >= 0
 }
 
-func (u *upstream) file(w http.ResponseWriter, r *http.Request) {
+func (u *upstream) handleFiling(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	u.mu.Lock()
 	u.runs[string(body)]++
@@ -143,7 +143,7 @@
 	return u.runs[body]
 }
 
-// configuration is one that tests can change.
+// configuration is a Configuration and Readiness that tests can change.
 type configuration struct {
 	snapshot atomic.Pointer[configstate.Snapshot]
 }
@@ -157,7 +157,7 @@
 // Ready implements Readiness.
 func (c *configuration) Ready() error { return nil }
 
-// set puts a document with two teams in force, with the withdrawn digests.
+// set publishes a document with two teams and the given withdrawn key digests.
 func (c *configuration) set(urls []string, withdrawn ...string) {
 	doc := &document.Document{
 		Teams: []document.Team{
@@ -175,7 +175,7 @@
 	c.snapshot.Store(configstate.NewSnapshot(1, "c", "d", doc, withdrawn))
 }
 
-// fleet is several VMs in one process before the same upstreams.
+// fleet is a group of VMs in one process that share the same upstreams.
 type fleet struct {
 	config configuration
 	urls   []string
@@ -185,21 +185,21 @@
 	claims map[string]*claims.Claims
 	relays map[string]*relay.Relay
 	vms    []*httptest.Server
-	// maxInFlight bounds an engine.
+	// maxInFlight bounds the requests in flight at an engine.
 	maxInFlight int
-	// pacing replaces the defaults.
-	pacing pacing
+	// timing replaces the default streamTiming unless it is zero.
+	timing streamTiming
 }
 
 func newFleet(t testing.TB, vms, maxInFlight int, urls ...string) *fleet {
-	return newPacedFleet(t, vms, maxInFlight, pacing{}, urls...)
+	return newFleetWithTiming(t, vms, maxInFlight, streamTiming{}, urls...)
 }
 
-func newPacedFleet(t testing.TB, vms, maxInFlight int, p pacing, urls ...string) *fleet {
+func newFleetWithTiming(t testing.TB, vms, maxInFlight int, timing streamTiming, urls ...string) *fleet {
 	ring, err := resume.NewRing([]byte(strings.Repeat("s", resume.MinSecretBytes)))
 	require.NoError(t, err)
 	f := &fleet{
-		urls: urls, store: kvtest.NewMemory(nil), ring: ring, maxInFlight: maxInFlight, pacing: p,
+		urls: urls, store: kvtest.NewMemory(nil), ring: ring, maxInFlight: maxInFlight, timing: timing,
 		claims: make(map[string]*claims.Claims), relays: make(map[string]*relay.Relay),
 	}
 	f.config.set(urls)
@@ -223,7 +223,7 @@
 
 func (f *fleet) teams() []document.Team { return f.config.Snapshot().Document.Teams }
 
-// start starts a VM.
+// start starts the server of one VM.
 func (f *fleet) start(t testing.TB, name string) *httptest.Server {
 	engines := engine.NewClient(engine.ClientOptions{})
 	models, pools := f.models(), f.pools()
@@ -249,8 +249,8 @@
 	f.claims[name], f.relays[name] = o.Claims.(*claims.Claims), o.Relay
 	f.mu.Unlock()
 	handler := NewHandler(o)
-	if f.pacing != (pacing{}) {
-		handler.pacing = f.pacing
+	if f.timing != (streamTiming{}) {
+		handler.timing = f.timing
 	}
 	server := httptest.NewServer(handler)
 	t.Cleanup(func() {
@@ -262,7 +262,8 @@
 	return server
 }
 
-// limiter admits everything: its clock runs an hour with every reading.
+// limiter returns a limiter that admits everything: its clock advances by an hour with
+// every reading.
 func (f *fleet) limiter() ratelimit.Limiter {
 	var hours atomic.Int64
 	l := ratelimit.NewStatic(1, func() time.Duration { return time.Duration(hours.Add(1)) * time.Hour })
@@ -285,17 +286,17 @@
 	f.relays[vm].Release(stream)
 }
 
-// answer is what a caller got.
+// answer is a response as received by a caller.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	// ids and texts are a stream's.
+	// ids and texts are the event IDs and data of a stream.
 	ids   []string
 	texts []string
 }
 
-// problem reads the error in a body.
+// problem decodes the error in the body.
 func (a *answer) problem(t testing.TB) Problem {
 	var body problemBody
 	require.NoError(t, json.Unmarshal([]byte(a.body), &body), a.body)
@@ -303,7 +304,7 @@
 	return *body.Error
 }
 
-// call makes a request at a VM.
+// call sends a request to a VM.
 func (f *fleet) call(t testing.TB, vm int, method, path, key, body string, header ...string) *answer {
 	req, err := http.NewRequest(method, f.vms[vm].URL+path, strings.NewReader(body))
 	require.NoError(t, err)
--- a/internal/caller/info.go
+++ b/internal/caller/info.go
@@ -18,8 +18,8 @@
 	writeJSON(w, http.StatusOK, map[string]string{"status": "ready"})
 }
 
-// parameterDomain lets a caller name its own failure domain.
-const parameterDomain = "failure_domain"
+// failureDomainParameter is the query parameter with the caller's failure domain.
+const failureDomainParameter = "failure_domain"
 
 type addressesBody struct {
 	Addresses []Address `json:"addresses"`
@@ -27,7 +27,7 @@
 }
 
 func (h *Handler) addresses(w http.ResponseWriter, r *http.Request) {
-	addresses, lifetime := h.Addresses.Answer(r.URL.Query().Get(parameterDomain))
+	addresses, lifetime := h.Addresses.Answer(r.URL.Query().Get(failureDomainParameter))
 	writeJSON(w, http.StatusOK, addressesBody{Addresses: addresses, TTLMS: int64(lifetime / time.Millisecond)})
 }
 
@@ -42,7 +42,8 @@
 	Data   []modelBody `json:"data"`
 }
 
-// models lists what callers may name, in the form of the OpenAI API.
+// models lists the models and adapters that callers can request, in the format of the
+// OpenAI API.
 func (h *Handler) models(w http.ResponseWriter, _ *http.Request, req *request) *Problem {
 	body := modelsBody{Object: "list", Data: []modelBody{}}
 	for _, m := range req.snapshot.Document.Models {
--- a/internal/caller/memory.go
+++ b/internal/caller/memory.go
@@ -10,34 +10,33 @@
 )
 
 const (
-	// maxBufferedBytes bounds the bodies of all requests on a VM together. With a
-	// bound on each body alone, many large ones at once would take the VM's
-	// whole memory.
+	// maxBufferedBytes bounds the total size of all request bodies on a VM. With a
+	// limit per body only, many large bodies at once would exhaust the VM's memory.
 	maxBufferedBytes = 256 << 20
-	// bodyTimeout bounds how long a caller may take to send a body.
+	// bodyTimeout bounds the time for receiving a body.
 	bodyTimeout = 30 * time.Second
 )
 
-// memory counts the bytes of bodies that are held.
-type memory struct {
-	held atomic.Int64
+// bodyMemory counts the bytes that are reserved for request bodies.
+type bodyMemory struct {
+	reserved atomic.Int64
 }
 
-// reserve takes n bytes, or reports that there is no room for them.
-func (m *memory) reserve(n int64) bool {
-	if m.held.Add(n) > maxBufferedBytes {
-		m.held.Add(-n)
+// reserve reserves n bytes. It returns false if that would exceed maxBufferedBytes.
+func (m *bodyMemory) reserve(n int64) bool {
+	if m.reserved.Add(n) > maxBufferedBytes {
+		m.reserved.Add(-n)
 		return false
 	}
 	return true
 }
 
-func (m *memory) release(n int64) {
-	m.held.Add(-n)
+func (m *bodyMemory) release(n int64) {
+	m.reserved.Add(-n)
 }
 
-// readBody reads a request's body within the bounds on size, memory and time. The
-// returned function gives the memory back.
+// readBody reads a request's body within the limits on size, memory and time. The
+// returned function releases the reserved memory.
 func (h *Handler) readBody(w http.ResponseWriter, r *http.Request) ([]byte, func(), *Problem) {
 	size := r.ContentLength
 	if size < 0 {
@@ -46,11 +45,11 @@
 	if size > h.Limits.MaxBodyBytes {
 		return nil, nil, newProblem(http.StatusRequestEntityTooLarge, TypeTooLarge, NotRun, "the body is too large")
 	}
-	if !h.memory.reserve(size) {
+	if !h.bodyMemory.reserve(size) {
 		return nil, nil, newProblem(http.StatusServiceUnavailable, TypeOverloaded, NotRun, "this VM holds too many bodies").retryAfter(time.Second)
 	}
-	release := func() { h.memory.release(size) }
-	body, problem := readWithin(w, r)
+	release := func() { h.bodyMemory.release(size) }
+	body, problem := readAllWithDeadline(w, r)
 	if problem != nil {
 		release()
 		return nil, nil, problem
@@ -58,7 +57,8 @@
 	return body, release, nil
 }
 
-func readWithin(w http.ResponseWriter, r *http.Request) ([]byte, *Problem) {
+// readAllWithDeadline reads the body within bodyTimeout.
+func readAllWithDeadline(w http.ResponseWriter, r *http.Request) ([]byte, *Problem) {
 	controller := http.NewResponseController(w)
 	_ = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := io.ReadAll(r.Body)
--- a/internal/caller/problem.go
+++ b/internal/caller/problem.go
@@ -8,67 +8,70 @@
 	"time"
 )
 
-// Outcome says what became of a request that was not answered in full.
+// Outcome tells whether a request was executed.
 type Outcome string
 
-// NotRun means that nothing was executed and nothing will be. Unknown means
-// that it may have been executed.
+// NotRun means that the request was not executed and will not be. Unknown means that
+// it may have been executed. Answered means that it was executed and answered.
 const (
 	NotRun   Outcome = "not_run"
 	Unknown  Outcome = "unknown"
 	Answered Outcome = "answered"
 )
 
-// ProblemType names a kind of refusal or failure. docs/CALLERS.md lists them.
+// ProblemType identifies a kind of refusal or failure. docs/CALLERS.md lists them.
 type ProblemType string
 
-// The kinds of problem.
+// The problem types.
 const (
-	TypeMissingKey    ProblemType = "missing_key"
-	TypeUnknownKey    ProblemType = "unknown_key"
-	TypeWithdrawnKey  ProblemType = "withdrawn_key"
-	TypeMalformed     ProblemType = "malformed_request"
-	TypeTooLarge      ProblemType = "request_too_large"
-	TypeUnknownModel  ProblemType = "unknown_model"
-	TypeUnknownRoute  ProblemType = "unknown_route"
-	TypeRateLimited   ProblemType = "rate_limited"
-	TypeExceedsBurst  ProblemType = "exceeds_burst"
-	TypeNoReplica     ProblemType = "no_replica"
-	TypeOverloaded    ProblemType = "overloaded"
-	TypeNotReady      ProblemType = "not_ready"
-	TypeUpstream      ProblemType = "upstream_failed"
-	TypeUpstreamError ProblemType = "upstream_error"
-	TypeDeadline      ProblemType = "deadline_exceeded"
-	// TypeTooLate refuses early what cannot be finished by its deadline.
-	TypeTooLate       ProblemType = "deadline_unattainable"
-	TypeQueueFull     ProblemType = "queue_full"
-	TypeBadEventID    ProblemType = "bad_event_id"
-	TypeUnknownStream ProblemType = "unknown_stream"
-	TypeKeyReused     ProblemType = "idempotency_key_reused"
-	TypeBadKey        ProblemType = "bad_idempotency_key"
-	TypeInProgress    ProblemType = "action_in_progress"
+	TypeMissingKey       ProblemType = "missing_key"
+	TypeUnknownKey       ProblemType = "unknown_key"
+	TypeWithdrawnKey     ProblemType = "withdrawn_key"
+	TypeMalformed        ProblemType = "malformed_request"
+	TypeTooLarge         ProblemType = "request_too_large"
+	TypeUnknownModel     ProblemType = "unknown_model"
+	TypeUnknownRoute     ProblemType = "unknown_route"
+	TypeRateLimited      ProblemType = "rate_limited"
+	TypeExceedsBurst     ProblemType = "exceeds_burst"
+	TypeNoReplica        ProblemType = "no_replica"
+	TypeOverloaded       ProblemType = "overloaded"
+	TypeNotReady         ProblemType = "not_ready"
+	TypeUpstreamFailed   ProblemType = "upstream_failed"
+	TypeUpstreamError    ProblemType = "upstream_error"
+	TypeDeadlineExceeded ProblemType = "deadline_exceeded"
+	// TypeDeadlineUnattainable refuses a request early that cannot be finished by its
+	// deadline.
+	TypeDeadlineUnattainable ProblemType = "deadline_unattainable"
+	TypeQueueFull            ProblemType = "queue_full"
+	TypeBadEventID           ProblemType = "bad_event_id"
+	TypeUnknownStream        ProblemType = "unknown_stream"
+	TypeIdempotencyKeyReused ProblemType = "idempotency_key_reused"
+	TypeBadIdempotencyKey    ProblemType = "bad_idempotency_key"
+	TypeActionInProgress     ProblemType = "action_in_progress"
 	// TypeOutcomeUnknown answers a retry of an action that may have run.
 	TypeOutcomeUnknown ProblemType = "outcome_unknown"
 	// TypeAnswerNotKept answers a retry of an action whose answer was too large
-	// to keep.
+	// to be stored.
 	TypeAnswerNotKept    ProblemType = "answer_not_kept"
 	TypeClaimUnavailable ProblemType = "claim_unavailable"
 	TypeCallerGone       ProblemType = "caller_gone"
 )
 
-// Problem is a refusal or failure as the caller sees it.
+// Problem is a refusal or failure as it is reported to the caller.
 type Problem struct {
-	// Status is the HTTP status code.
+	// Status is the HTTP status code. With 0 no status is written: the answer has
+	// already begun.
 	Status int `json:"-"`
-	// Type is the kind.
+	// Type is the kind of problem.
 	Type ProblemType `json:"type"`
-	// Message explains it to a person.
+	// Message is a human-readable explanation.
 	Message string `json:"message"`
-	// Outcome says whether the request may have been executed.
+	// Outcome tells whether the request may have been executed.
 	Outcome Outcome `json:"outcome"`
-	// RequestID is the request's.
+	// RequestID is the request's ID.
 	RequestID string `json:"request_id"`
-	// RetryAfterMS is when to come back in milliseconds, 0 if that is not known.
+	// RetryAfterMS is the time to wait before a retry in milliseconds, 0 if it is not
+	// known.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 }
 
@@ -79,7 +82,7 @@
 	return &Problem{Status: status, Type: kind, Outcome: outcome, Message: message}
 }
 
-// retryAfter sets when the caller should come back.
+// retryAfter sets the time to wait before a retry, at least 1 ms, and returns p.
 func (p *Problem) retryAfter(d time.Duration) *Problem {
 	p.RetryAfterMS = max(1, d.Milliseconds())
 	return p
@@ -89,8 +92,8 @@
 	Error *Problem `json:"error"`
 }
 
-// write answers with the problem. The header Retry-After is in whole seconds,
-// rounded up, since HTTP knows no smaller unit.
+// write writes the problem as the answer. The Retry-After header is in whole seconds,
+// rounded up, since HTTP has no smaller unit.
 func (p *Problem) write(w http.ResponseWriter, requestID string) {
 	p.RequestID = requestID
 	w.Header().Set("Content-Type", "application/json")
@@ -102,8 +105,8 @@
 	json.NewEncoder(w).Encode(problemBody{Error: p})
 }
 
-// event returns the problem as the data of a server-sent event.
-func (p *Problem) event(requestID string) []byte {
+// eventData returns the problem as the data of a server-sent event.
+func (p *Problem) eventData(requestID string) []byte {
 	p.RequestID = requestID
 	data, err := json.Marshal(problemBody{Error: p})
 	if err != nil {
--- a/internal/caller/reference_test.go
+++ b/internal/caller/reference_test.go
@@ -13,14 +13,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// raised is one place in the code that makes a problem.
-type raised struct {
+// problemSite is a newProblem call: the names of its type and outcome.
+type problemSite struct {
 	kind, outcome string
 }
 
-// source reads the package's problem types, and every place that raises one with
-// an outcome that stands there.
-func source(t *testing.T) (types map[string]string, places []raised) {
+// parseProblems parses the package's source. It returns the problem types by constant
+// name, and every newProblem call with a constant type and outcome.
+func parseProblems(t *testing.T) (types map[string]string, places []problemSite) {
 	types = make(map[string]string)
 	entries, err := os.ReadDir(".")
 	require.NoError(t, err)
@@ -43,7 +43,7 @@
 					kind, _ := n.Args[1].(*ast.Ident)
 					outcome, _ := n.Args[2].(*ast.Ident)
 					if kind != nil && outcome != nil {
-						places = append(places, raised{kind.Name, outcome.Name})
+						places = append(places, problemSite{kind.Name, outcome.Name})
 					}
 				}
 			}
@@ -53,13 +53,13 @@
 	return types, places
 }
 
-// A caller acts on an error by what docs/CALLERS.md says of it. A type that is
-// missing there, or one that comes with an outcome that the page does not give,
-// makes him repeat what must not be repeated.
+// Callers handle errors as docs/CALLERS.md specifies. If a type is missing there, or is
+// returned with an outcome that the page does not list, a caller may retry a request
+// that must not be repeated.
 func TestEveryProblemIsInTheCallersPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CALLERS.md")
 	require.NoError(t, err)
-	types, places := source(t)
+	types, places := parseProblems(t)
 	require.NotEmpty(t, types)
 	require.NotEmpty(t, places)
 	outcomes := map[string]Outcome{"NotRun": NotRun, "Unknown": Unknown, "Answered": Answered}
@@ -73,10 +73,10 @@
 	}
 	for name, value := range types {
 		row := regexp.MustCompile("(?m)^\\| `" + value + "` \\|([^|]*)\\|([^|]*)\\|").FindStringSubmatch(string(page))
-		require.NotNil(t, row, "%s is not in the page", name)
-		require.NotEmpty(t, used[value], "%s is never raised", name)
+		require.NotNil(t, row, "problem type %s is missing in docs/CALLERS.md", name)
+		require.NotEmpty(t, used[value], "no newProblem call returns problem type %s", name)
 		for _, outcome := range []Outcome{NotRun, Unknown, Answered} {
-			require.Equal(t, used[value][outcome], strings.Contains(row[2], "`"+string(outcome)+"`"), "%s: outcome %s", name, outcome)
+			require.Equal(t, used[value][outcome], strings.Contains(row[2], "`"+string(outcome)+"`"), "problem type %s: docs/CALLERS.md and the code disagree about outcome %s", name, outcome)
 		}
 	}
 }
--- a/internal/caller/services.go
+++ b/internal/caller/services.go
@@ -16,17 +16,18 @@
 )
 
 const (
-	// HeaderIdempotencyKey names an action, so that it can be tried again.
+	// HeaderIdempotencyKey is the header with the idempotency key of an action, which
+	// makes it safe to retry.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderReplayed marks an answer that an earlier request got.
+	// HeaderReplayed is the header that marks the stored answer of an earlier request.
 	HeaderReplayed = "Idempotent-Replayed"
-	// maxIdempotencyKeyBytes bounds an idempotency key.
+	// maxIdempotencyKeyBytes bounds the length of an idempotency key.
 	maxIdempotencyKeyBytes = 255
-	// maxTries is how many replicas one call is offered to.
+	// maxTries bounds the number of replicas that one call is sent to.
 	maxTries = 3
 )
 
-// action is one call of a plain service under way.
+// action is the state of one call to a plain service.
 type action struct {
 	*document.Route
 	req     *request
@@ -35,7 +36,7 @@
 	avoid   []string
 }
 
-// services serves the routed calls to plain services.
+// services serves calls to plain services.
 func (h *Handler) services(w http.ResponseWriter, r *http.Request, req *request) *Problem {
 	path := strings.TrimPrefix(r.URL.Path, "/services")
 	found := findRoute(req.snapshot.Document, path)
@@ -44,7 +45,7 @@
 	}
 	key := r.Header.Get(HeaderIdempotencyKey)
 	if len(key) > maxIdempotencyKeyBytes {
-		return newProblem(http.StatusBadRequest, TypeBadKey, NotRun, "the idempotency key is too long")
+		return newProblem(http.StatusBadRequest, TypeBadIdempotencyKey, NotRun, "the idempotency key is too long")
 	}
 	body, release, problem := h.readBody(w, r)
 	if problem != nil {
@@ -59,7 +60,7 @@
 	defer func() { grant.Settle(used) }()
 	a := &action{Route: found, req: req, call: service.Call{
 		Method: r.Method, Path: path, RawQuery: r.URL.RawQuery, Header: r.Header, Body: body,
-		RequestID: req.stream, Repeat: found.Repeat, Timeout: found.Timeout,
+		RequestID: req.streamID, Repeat: found.Repeat, Timeout: found.Timeout,
 	}}
 	if key != "" && found.Repeat != document.RepeatSafe {
 		replayed, problem := h.claim(w, r, a, key)
@@ -67,7 +68,7 @@
 			return problem
 		}
 	}
-	answer, sent, problem := h.act(r.Context(), a)
+	answer, sent, problem := h.callWithRetries(r.Context(), a)
 	if sent {
 		used = found.Cost
 	}
@@ -78,6 +79,7 @@
 	return nil
 }
 
+// findRoute returns the route with the path, or nil.
 func findRoute(doc *document.Document, path string) *document.Route {
 	for i := range doc.Routes {
 		if doc.Routes[i].Path == path {
@@ -87,8 +89,8 @@
 	return nil
 }
 
-// claim makes sure that a keyed action runs once. If an earlier request was
-// answered, its answer is written.
+// claim claims an action with an idempotency key, so that it runs at most once. If an
+// earlier request with the key was answered, claim writes that answer.
 func (h *Handler) claim(w http.ResponseWriter, r *http.Request, a *action, key string) (replayed bool, problem *Problem) {
 	digest := claim.DigestBody(r.Method, r.URL.RequestURI(), a.call.Body)
 	attempt, err := h.Claims.Claim(r.Context(), a.req.holder.Team, key, digest)
@@ -116,35 +118,35 @@
 	return nil
 }
 
-// act offers a call to replicas until one has taken it. A call that may not be
-// repeated is offered to another replica only if no byte of it can have reached
-// the one before. Sent means that a replica may have run it.
-func (h *Handler) act(ctx context.Context, a *action) (answer *service.Answer, sent bool, problem *Problem) {
+// callWithRetries sends a call to replicas until one answers. Unless the route is
+// RepeatSafe, it retries only if no byte of the call can have reached the previous
+// replica. sent means that a replica may have run the call.
+func (h *Handler) callWithRetries(ctx context.Context, a *action) (answer *service.Answer, sent bool, problem *Problem) {
 	for try := 1; ; try++ {
-		answer, err := h.actOnce(ctx, a)
+		answer, err := h.callReplica(ctx, a)
 		if err == nil {
-			h.answered(a, answer)
+			h.storeAnswer(a, answer)
 			return answer, true, nil
 		}
 		outcome := service.OutcomeOf(err)
 		sent = sent || outcome == service.Unknown
 		var call *service.CallError
-		again := errors.As(err, &call) && (outcome == service.NotRun || a.Repeat == document.RepeatSafe)
-		if again && try < maxTries && ctx.Err() == nil {
+		retry := errors.As(err, &call) && (outcome == service.NotRun || a.Repeat == document.RepeatSafe)
+		if retry && try < maxTries && ctx.Err() == nil {
 			continue
 		}
-		return nil, sent, h.failed(a, err, sent)
+		return nil, sent, h.failAction(a, err, sent)
 	}
 }
 
-// actOnce sends the call to one replica.
-func (h *Handler) actOnce(ctx context.Context, a *action) (*service.Answer, error) {
-	if !h.retries.allow(len(a.avoid)) {
+// callReplica sends the call to one replica.
+func (h *Handler) callReplica(ctx context.Context, a *action) (*service.Answer, error) {
+	if !h.retryBudget.allow(len(a.avoid)) {
 		return nil, &acquireError{dispatch.ErrNoReplica}
 	}
 	grant, err := h.Pools.Acquire(ctx, dispatch.Request{
 		Team: a.req.holder.Team, Item: route.PoolItem(a.Service), Tokens: a.Cost, Bytes: int64(len(a.call.Body)),
-		Deadline: a.req.deadline, Avoid: a.avoid, Check: func() error { return h.mayRun(a.req) },
+		Deadline: a.req.deadline, Avoid: a.avoid, Check: func() error { return h.checkBeforeDispatch(a.req) },
 	})
 	if err != nil {
 		return nil, &acquireError{err}
@@ -154,8 +156,8 @@
 		return nil, &acquireError{claims.ErrUnavailable}
 	}
 	a.call.BaseURL = grant.Upstream.URL
-	// The caller may go away, but the call has been sent: its answer is wanted for
-	// whoever tries the key again.
+	// The call is not cancelled if the caller disconnects: once it has been sent, its
+	// answer is needed for retries with the same key.
 	detached, cancel := context.WithDeadline(context.WithoutCancel(ctx), a.req.deadline)
 	defer cancel()
 	answer, err := h.Services.Call(detached, a.call)
@@ -171,21 +173,21 @@
 	return nil, err
 }
 
-// acquireError is the lack of a replica. Nothing was sent.
+// acquireError is a failure to acquire a replica. Nothing was sent.
 type acquireError struct{ error }
 
-// Unwrap returns the error, and that the call was not run.
+// Unwrap returns the cause and service.ErrNotRun.
 func (e *acquireError) Unwrap() []error { return []error{e.error, service.ErrNotRun} }
 
-// answered keeps the answer for retries with the same key.
-func (h *Handler) answered(a *action, answer *service.Answer) {
+// storeAnswer stores the answer for retries with the same key.
+func (h *Handler) storeAnswer(a *action, answer *service.Answer) {
 	if a.attempt != nil {
 		a.attempt.Answered(answer.Status, answer.Header.Get("Content-Type"), answer.Body)
 	}
 }
 
-// failed ends the attempt and says what the failure means to the caller.
-func (h *Handler) failed(a *action, err error, sent bool) *Problem {
+// failAction ends the attempt of a failed action and converts the error.
+func (h *Handler) failAction(a *action, err error, sent bool) *Problem {
 	if a.attempt != nil {
 		if sent {
 			a.attempt.Lost()
@@ -198,11 +200,11 @@
 	case errors.As(err, &acquire) && !sent:
 		return acquireProblem(acquire.error)
 	case !sent:
-		return newProblem(http.StatusServiceUnavailable, TypeUpstream, NotRun, "the service could not be reached").retryAfter(busyRetry)
+		return newProblem(http.StatusServiceUnavailable, TypeUpstreamFailed, NotRun, "the service could not be reached").retryAfter(defaultRetryAfter)
 	case errors.Is(err, context.DeadlineExceeded):
-		return newProblem(http.StatusGatewayTimeout, TypeDeadline, Unknown, "the service did not answer in time")
+		return newProblem(http.StatusGatewayTimeout, TypeDeadlineExceeded, Unknown, "the service did not answer in time")
 	}
-	return newProblem(http.StatusBadGateway, TypeUpstream, Unknown, "the service gave no complete answer")
+	return newProblem(http.StatusBadGateway, TypeUpstreamFailed, Unknown, "the service gave no complete answer")
 }
 
 func writeAnswer(w http.ResponseWriter, a *service.Answer) {
--- a/internal/caller/sse.go
+++ b/internal/caller/sse.go
@@ -11,43 +11,44 @@
 )
 
 const (
-	// defaultHeartbeat is how often a caller hears a comment while there is no event. It
-	// tells him that the connection is alive, and us if it is not.
+	// defaultHeartbeat is the interval between comments on a stream without events. They
+	// show the caller that the connection is alive, and let this VM detect one that is
+	// not.
 	defaultHeartbeat = 5 * time.Second
-	// defaultWriteTimeout bounds how long a caller may take to read an event. Without it
-	// one who stops reading would hold his stream, and the engine's, for ever.
+	// defaultWriteTimeout bounds the time for writing an event. Without it, a caller that
+	// stops reading would hold its stream, and the engine's, forever.
 	defaultWriteTimeout = 10 * time.Second
 )
 
-// pacing is how a stream to a caller is timed.
-type pacing struct {
+// streamTiming holds the heartbeat interval and write timeout of streams to callers.
+type streamTiming struct {
 	heartbeat, writeTimeout time.Duration
 }
 
-// sse writes server-sent events to a caller. It implements relay.Sink. Event and
-// Attach are called from one goroutine; heartbeats come from another.
-type sse struct {
+// sseWriter writes server-sent events to a caller. It implements relay.Sink. Event and
+// Attach are called from one goroutine; heartbeats are sent from another.
+type sseWriter struct {
 	w          http.ResponseWriter
 	controller *http.ResponseController
 	ring       *resume.Ring
 	token      resume.Token
-	pacing     pacing
+	timing     streamTiming
 
-	mu      sync.Mutex
-	signer  *resume.Signer
-	buffer  []byte
-	timer   *time.Timer
-	started bool
-	err     error
+	mu             sync.Mutex
+	signer         *resume.Signer
+	buffer         []byte
+	heartbeatTimer *time.Timer
+	started        bool
+	err            error
 }
 
-func newSSE(w http.ResponseWriter, ring *resume.Ring, token resume.Token, p pacing) *sse {
-	return &sse{w: w, ring: ring, token: token, pacing: p}
+func newSSEWriter(w http.ResponseWriter, ring *resume.Ring, token resume.Token, timing streamTiming) *sseWriter {
+	return &sseWriter{w: w, ring: ring, token: token, timing: timing}
 }
 
-// innermost returns the server's own writer. The wrappers around it, which watch
-// status and size for traces, allocate with every call.
-func innermost(w http.ResponseWriter) http.ResponseWriter {
+// unwrapWriter returns the server's own writer. The wrappers around it, which record
+// status and size for traces, allocate on every call.
+func unwrapWriter(w http.ResponseWriter) http.ResponseWriter {
 	for {
 		wrapper, ok := w.(interface{ Unwrap() http.ResponseWriter })
 		if !ok {
@@ -57,9 +58,10 @@
 	}
 }
 
-// Attach sends the header, once an engine has taken the request, and signs the
-// events that follow for that engine.
-func (s *sse) Attach(p relay.Place) error {
+// Attach is called when an engine has accepted the request. It sends the header, the
+// first time, and makes the resume tokens of the following events refer to that
+// engine.
+func (s *sseWriter) Attach(p relay.Place) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.token.Engine = p.Engine
@@ -76,15 +78,15 @@
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-store")
 	s.w.WriteHeader(http.StatusOK)
-	s.w = innermost(s.w)
+	s.w = unwrapWriter(s.w)
 	s.controller = http.NewResponseController(s.w)
 	s.flush()
-	s.timer = time.AfterFunc(s.pacing.heartbeat, s.beat)
+	s.heartbeatTimer = time.AfterFunc(s.timing.heartbeat, s.sendHeartbeat)
 	return nil
 }
 
-// Event writes one event with its resume token, at once.
-func (s *sse) Event(e engine.Event) error {
+// Event writes and flushes one event with its resume token.
+func (s *sseWriter) Event(e engine.Event) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.buffer = s.buffer[:0]
@@ -96,53 +98,53 @@
 	s.buffer = append(s.buffer, "data: "...)
 	s.buffer = append(s.buffer, e.Data...)
 	s.buffer = append(s.buffer, "\n\n"...)
-	s.write()
-	s.timer.Reset(s.pacing.heartbeat)
+	s.writeBuffer()
+	s.heartbeatTimer.Reset(s.timing.heartbeat)
 	return s.err
 }
 
-// fail ends a stream that will not become whole. It never writes [DONE].
-func (s *sse) fail(p *Problem, requestID string) {
+// fail ends an incomplete stream with an error event. It never writes [DONE].
+func (s *sseWriter) fail(p *Problem, requestID string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.buffer = append(s.buffer[:0], "event: error\ndata: "...)
-	s.buffer = append(s.buffer, p.event(requestID)...)
+	s.buffer = append(s.buffer, p.eventData(requestID)...)
 	s.buffer = append(s.buffer, "\n\n"...)
-	s.write()
+	s.writeBuffer()
 }
 
-// close stops the heartbeats. Nothing is written after it returns.
-func (s *sse) close() {
+// close stops the heartbeats. Nothing is written after close returns.
+func (s *sseWriter) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.timer != nil {
-		s.timer.Stop()
+	if s.heartbeatTimer != nil {
+		s.heartbeatTimer.Stop()
 	}
 	s.err = http.ErrHandlerTimeout
 }
 
-func (s *sse) beat() {
+func (s *sseWriter) sendHeartbeat() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.err != nil {
 		return
 	}
 	s.buffer = append(s.buffer[:0], ": heartbeat\n\n"...)
-	s.write()
-	s.timer.Reset(s.pacing.heartbeat)
+	s.writeBuffer()
+	s.heartbeatTimer.Reset(s.timing.heartbeat)
 }
 
-// write sends the buffer. After an error nothing more is sent.
-func (s *sse) write() {
+// writeBuffer writes and flushes the buffer. After an error it does nothing.
+func (s *sseWriter) writeBuffer() {
 	if s.err != nil {
 		return
 	}
-	_ = s.controller.SetWriteDeadline(time.Now().Add(s.pacing.writeTimeout))
+	_ = s.controller.SetWriteDeadline(time.Now().Add(s.timing.writeTimeout))
 	if _, s.err = s.w.Write(s.buffer); s.err == nil {
 		s.flush()
 	}
 }
 
-func (s *sse) flush() {
+func (s *sseWriter) flush() {
 	s.err = s.controller.Flush()
 }
--- a/internal/caller/streams.go
+++ b/internal/caller/streams.go
@@ -9,8 +9,8 @@
 	"github.com/chestnutarch/chestnutarch/internal/resume"
 )
 
-// streams gives the rest of a stream to the team whose it is, at whatever VM the
-// caller comes back to.
+// streams serves the rest of a stream to the team that owns it. The caller can resume
+// the stream at any VM.
 func (h *Handler) streams(w http.ResponseWriter, r *http.Request, req *request) *Problem {
 	id := r.Header.Get(headerLastEventID)
 	if id == "" {
@@ -24,13 +24,13 @@
 	if !ok {
 		return newProblem(http.StatusNotFound, TypeUnknownStream, Unknown, "the stream's engine is no longer in force")
 	}
-	h.takeOver(token)
+	h.releaseAtPreviousVM(token)
 	job := relay.Job{StreamID: token.Stream, At: relay.Place{Engine: token.Engine, URL: url}, AfterID: token.Offset}
-	return h.streamJob(w, r, req, job, &pace{}, nil)
+	return h.streamJob(w, r, req, job, &latencySink{}, nil)
 }
 
-// openToken checks an event ID that a caller sent back. A token of another team
-// is refused like one of a stream that does not exist.
+// openToken verifies an event ID that a caller sent back. A token of another team is
+// refused in the same way as one of a stream that does not exist.
 func (h *Handler) openToken(id string, req *request) (resume.Token, *Problem) {
 	token, err := h.Ring.Open(id, req.holder.Team)
 	switch {
@@ -42,9 +42,10 @@
 	return token, nil
 }
 
-// takeOver tells the VM that passed the stream on before that it is read here
-// now. A reading at this VM is ended when the new one begins.
-func (h *Handler) takeOver(t resume.Token) {
+// releaseAtPreviousVM notifies the VM that served the stream before that the stream is
+// read here from now on. An earlier reader at this VM is ended when the new one
+// begins.
+func (h *Handler) releaseAtPreviousVM(t resume.Token) {
 	if t.VM != h.VM {
 		h.Releaser.Release(t.VM, t.Stream)
 	}
--- a/internal/caller/tokens.go
+++ b/internal/caller/tokens.go
@@ -10,23 +10,26 @@
 	"github.com/chestnutarch/chestnutarch/internal/ratelimit"
 )
 
-// bytesPerToken is how many bytes of JSON text make a token on average. A wrong
-// estimate becomes a refund or debt when the request is settled.
+// bytesPerToken is the assumed average number of bytes of JSON text per token. The
+// error of an estimate becomes a refund or a debt when the request is settled.
 const bytesPerToken = 4
 
-func promptTokens(c *completionRequest) int64 {
+// estimatePromptTokens returns the estimated length of the prompt, at least 1.
+func estimatePromptTokens(c *completionRequest) int64 {
 	return int64(len(c.prompt())/bytesPerToken) + 1
 }
 
+// estimateTokens returns the tokens to charge in advance: the estimated prompt and the
+// maximum length of all choices.
 func estimateTokens(c *completionRequest) int64 {
-	return promptTokens(c) + c.MaxTokens*c.Answers
+	return estimatePromptTokens(c) + c.MaxTokens*c.Choices
 }
 
-// limitProblem says what a refusal by the limiter means to the caller.
+// limitProblem converts a refusal by the rate limiter.
 func limitProblem(err error) *Problem {
 	limited := new(ratelimit.LimitedError)
 	if errors.As(err, &limited) && limited.Cause == ratelimit.CauseNoAuthority {
-		// The team may be well inside its rate: it is this VM that may not admit.
+		// The team may be well within its rate: this VM has no authority to admit.
 		return newProblem(http.StatusServiceUnavailable, TypeNotReady, NotRun, limited.Error()).retryAfter(limited.RetryAfter)
 	}
 	if errors.As(err, &limited) {
@@ -36,7 +39,7 @@
 		return newProblem(http.StatusRequestEntityTooLarge, TypeExceedsBurst, NotRun, err.Error())
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		return newProblem(http.StatusGatewayTimeout, TypeDeadline, NotRun, "the deadline passed before the team's rate allowed the request")
+		return newProblem(http.StatusGatewayTimeout, TypeDeadlineExceeded, NotRun, "the deadline passed before the team's rate allowed the request")
 	}
 	return newProblem(http.StatusServiceUnavailable, TypeOverloaded, NotRun, err.Error()).retryAfter(time.Second)
 }
--- a/internal/caller/tokens_test.go
+++ b/internal/caller/tokens_test.go
@@ -11,10 +11,9 @@
 	"github.com/chestnutarch/chestnutarch/internal/ratelimit"
 )
 
-// A VM that has no authority over a part of the limits refuses a team that is
-// inside its rate. Told that the rate is used up, the caller would wait instead
-// of using another VM.
-func TestLimitProblemTellsTheTeamsDoingFromTheVMs(t *testing.T) {
+// A VM without authority over a part of the limits refuses a team that is within its
+// rate. If it reported rate_limited, the caller would wait instead of using another VM.
+func TestLimitProblemSeparatesTeamRateFromVMAuthority(t *testing.T) {
 	cases := []struct {
 		name   string
 		err    error
@@ -25,7 +24,7 @@
 		{"part short", &ratelimit.LimitedError{Cause: ratelimit.CausePartShort, RetryAfter: time.Second}, http.StatusTooManyRequests, TypeRateLimited},
 		{"no authority", &ratelimit.LimitedError{Cause: ratelimit.CauseNoAuthority, RetryAfter: time.Second}, http.StatusServiceUnavailable, TypeNotReady},
 		{"larger than the burst", ratelimit.ErrLargerThanBurst, http.StatusRequestEntityTooLarge, TypeExceedsBurst},
-		{"deadline", context.DeadlineExceeded, http.StatusGatewayTimeout, TypeDeadline},
+		{"deadline", context.DeadlineExceeded, http.StatusGatewayTimeout, TypeDeadlineExceeded},
 		{"stopped", ratelimit.ErrStopped, http.StatusServiceUnavailable, TypeOverloaded},
 	}
 	for _, c := range cases {
--- a/internal/entry/doc.go
+++ b/internal/entry/doc.go
@@ -1,3 +1,3 @@
-// Package entry assembles chestnut-entry: it starts the parts in order, joins
-// them, and stops them so that no running request is cut.
+// Package entry assembles chestnut-entry: it builds the components, connects them,
+// starts them in order, and shuts them down without cutting off running requests.
 package entry
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -31,37 +31,37 @@
 	"github.com/chestnutarch/chestnutarch/internal/vmlist"
 )
 
-// Process is one chestnut-entry.
+// Process is one chestnut-entry process.
 type Process struct {
 	settings *settings.Entry
 	log      zerolog.Logger
 	metrics  metrics.Registry
 
-	security    *process.Security
-	listeners   *listeners
-	store       *kv.HTTP
-	config      *configsync.Keeper
-	tally       *configsync.Tally
-	fleet       *fleet.Fleet
-	peers       *peer.Pool
-	peerCalls   *peer.Server
-	leases      *ratelimit.Leases
-	poller      *poller.Poller
-	vms         *vmlist.Poller
-	addresses   *addresses
-	plannerHTTP *http.Client
-	demand      *planner.Reporter
-	engines     *engine.Client
-	services    *service.Client
-	traffic     *traffic
-	handler     *caller.Handler
-	leaving     atomic.Bool
-	// incarnation grows with every start on this VM.
+	security       *process.Security
+	listeners      *listeners
+	store          *kv.HTTP
+	config         *configsync.Keeper
+	evidence       *configsync.Tally
+	fleet          *fleet.Fleet
+	peers          *peer.Pool
+	peerServer     *peer.Server
+	leases         *ratelimit.Leases
+	enginePoller   *poller.Poller
+	vmList         *vmlist.Poller
+	addresses      *addresses
+	plannerHTTP    *http.Client
+	demandReporter *planner.Reporter
+	engines        *engine.Client
+	services       *service.Client
+	traffic        *traffic
+	handler        *caller.Handler
+	leaving        atomic.Bool
+	// incarnation increases with every start on this VM.
 	incarnation uint64
 }
 
-// New builds the process and opens its listeners, so that an address that is
-// taken is reported before anything has started.
+// New builds the process and opens its listeners, so that an address in use is reported
+// before anything has started.
 func New(ctx context.Context, s *settings.Entry, log zerolog.Logger) (*Process, error) {
 	p := &Process{settings: s, log: log, metrics: metrics.NewRegistry(), incarnation: uint64(time.Now().UnixNano())}
 	steps := []func() error{p.buildSecurity, p.buildStore, p.buildPeers, p.buildUpstreams, p.buildTraffic, p.buildCallers}
@@ -95,11 +95,11 @@
 		Environment: p.settings.Environment,
 		HearsPeers:  func() bool { return p.fleet.HearsMajority(time.Now()) },
 		FleetSize:   func() int { return 1 + len(p.fleet.View().Members) },
-		Watches:     p.watches,
+		Watches:     p.keepsWatch,
 		Log:         p.log,
 		Metrics:     p.metrics,
 	})
-	p.tally = configsync.NewTally(p.config)
+	p.evidence = configsync.NewTally(p.config)
 	return nil
 }
 
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	p.peers, p.peerCalls = pool, server
+	p.peers, p.peerServer = pool, server
 	p.fleet = fleet.New(fleet.Options{
 		Self: membership.Node{
 			VM:            p.settings.VM,
@@ -123,17 +123,17 @@
 		},
 		Pool:   pool,
 		Log:    p.log,
-		Local:  p.local,
+		Local:  p.localState,
 		Seeds:  func() []string { return p.settings.Peers },
 		Update: p.config.UpdateSince,
-		Offer:  p.offer,
+		Offer:  p.applyPeerUpdate,
 	})
 	server.RegisterMembership(p.fleet)
 	p.buildLimiter()
 	return nil
 }
 
-// buildLimiter makes the quota leases, which follow the teams of the
+// buildLimiter creates the rate limiter, whose limits follow the teams of the
 // configuration in force.
 func (p *Process) buildLimiter() {
 	p.leases = ratelimit.NewLeases(ratelimit.Options{
@@ -149,44 +149,44 @@
 		Log:     p.log,
 		Metrics: p.metrics,
 	})
-	p.peerCalls.RegisterQuota(p.leases)
-	p.config.OnChange(func(s *configstate.Snapshot) { p.leases.SetLimits(limitsOf(s)) })
+	p.peerServer.RegisterQuota(p.leases)
+	p.config.OnChange(func(s *configstate.Snapshot) { p.leases.SetLimits(teamLimits(s)) })
 }
 
 func (p *Process) buildUpstreams() error {
 	p.engines = engine.NewClient(engine.ClientOptions{TLS: process.ClientTLS(p.security.Upstreams)})
 	p.services = service.NewClient(service.ClientOptions{TLS: process.ClientTLS(p.security.Upstreams)})
 	client := &http.Client{Transport: transport.New(transport.Limits{}, transport.Pool{}, nil)}
-	p.vms = vmlist.NewPoller(&vmlist.Client{URL: p.settings.VMList.URL, HTTP: client}, p.settings.VMList.Interval, p.log)
+	p.vmList = vmlist.NewPoller(&vmlist.Client{URL: p.settings.VMList.URL, HTTP: client}, p.settings.VMList.Interval, p.log)
 	p.plannerHTTP = &http.Client{
 		Transport: transport.New(transport.Limits{}, transport.Pool{}, process.ClientTLS(p.security.PeerFiles)),
 		Timeout:   plannerTimeout,
 	}
-	p.demand = planner.NewReporter(planner.ReporterOptions{
+	p.demandReporter = planner.NewReporter(planner.ReporterOptions{
 		VM: p.settings.VM, Environment: p.settings.Environment, Store: p.store, Client: p.plannerHTTP,
 	})
-	p.poller = poller.New(poller.Options{Source: p.engines, Config: p.config.Snapshot, Leaving: p.vms.Leaving})
+	p.enginePoller = poller.New(poller.Options{Source: p.engines, Config: p.config.Snapshot, Leaving: p.vmList.Leaving})
 	return nil
 }
 
 func (p *Process) buildCallers() error {
-	p.addresses = newAddresses(p.settings.Limits.AddressLifetime, p.settings.Limits.MaxInFlight, len(p.settings.Peers) == 0, p.fleet.View, p.vms.Leaving)
+	p.addresses = newAddresses(p.settings.Limits.AddressLifetime, p.settings.Limits.MaxInFlight, len(p.settings.Peers) == 0, p.fleet.View, p.vmList.Leaving)
 	p.handler = caller.NewHandler(caller.Options{
-		Configuration: p.config,
-		Limiter:       p.leases,
-		Judged:        p.tally.Request,
-		Offered:       p.demand.Add,
-		VM:            p.settings.VM,
-		Models:        p.traffic.models,
-		Pools:         p.traffic.pools,
-		Relay:         p.traffic.relay,
-		Ring:          p.traffic.ring,
-		Releaser:      p.traffic.release,
-		Claims:        p.traffic.claims,
-		Addresses:     p.addresses,
-		Readiness:     p,
-		Leaving:       p.leaving.Load,
-		Services:      p.services,
+		Configuration:    p.config,
+		Limiter:          p.leases,
+		RecordCompletion: p.evidence.Request,
+		RecordDemand:     p.demandReporter.Add,
+		VM:               p.settings.VM,
+		Models:           p.traffic.models,
+		Pools:            p.traffic.pools,
+		Relay:            p.traffic.relay,
+		Ring:             p.traffic.ring,
+		Releaser:         p.traffic.releaser,
+		Claims:           p.traffic.claims,
+		Addresses:        p.addresses,
+		Readiness:        p,
+		Leaving:          p.leaving.Load,
+		Services:         p.services,
 		Limits: caller.Limits{
 			MaxBodyBytes:   p.settings.Limits.MaxBodyBytes,
 			MaxInFlight:    p.settings.Limits.MaxInFlight,
@@ -198,8 +198,8 @@
 	return nil
 }
 
-// local is what this VM tells others of itself.
-func (p *Process) local() fleet.Local {
+// localState returns the state that this VM reports in its heartbeats.
+func (p *Process) localState() fleet.Local {
 	local := fleet.Local{
 		Leaving:          p.leaving.Load(),
 		Ready:            p.Ready() == nil,
@@ -215,7 +215,8 @@
 	return local
 }
 
-// Ready returns nil if this VM may take new work.
+// Ready returns nil if this VM may accept new requests. Else it returns
+// ErrNoConfiguration, ErrStale or ErrNoLimits.
 func (p *Process) Ready() error {
 	if p.config.Snapshot() == nil {
 		return ErrNoConfiguration
@@ -229,22 +230,22 @@
 	return nil
 }
 
-// Run serves until ctx ends, then stops gracefully: the VM leaves the address
-// answers, waits until callers' answers have run out, finishes what runs, and
-// only then stops the parts that running requests depend on.
+// Run serves until ctx ends and then shuts down gracefully: the VM is removed from the
+// address answers, waits until the answers that callers hold have expired, finishes
+// the running requests, and only then stops the components that those depend on.
 func (p *Process) Run(ctx context.Context) error {
 	background, stopBackground := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopBackground()
 	group, background := errgroup.WithContext(background)
-	group.Go(func() error { return ignoreStop(p.config.Run(background)) })
-	group.Go(func() error { return ignoreStop(p.fleet.Run(background)) })
-	group.Go(func() error { return ignoreStop(p.poller.Run(background)) })
-	group.Go(func() error { return p.demand.Run(background) })
-	group.Go(func() error { return ignoreStop(p.leases.Run(background)) })
+	group.Go(func() error { return ignoreCanceled(p.config.Run(background)) })
+	group.Go(func() error { return ignoreCanceled(p.fleet.Run(background)) })
+	group.Go(func() error { return ignoreCanceled(p.enginePoller.Run(background)) })
+	group.Go(func() error { return p.demandReporter.Run(background) })
+	group.Go(func() error { return ignoreCanceled(p.leases.Run(background)) })
 	if p.settings.VMList.URL != "" {
-		group.Go(func() error { return ignoreStop(p.vms.Run(background)) })
+		group.Go(func() error { return ignoreCanceled(p.vmList.Run(background)) })
 	}
-	group.Go(func() error { return p.peerCalls.Serve(background, p.listeners.peers, peerGrace) })
+	group.Go(func() error { return p.peerServer.Serve(background, p.listeners.peers, peerGrace) })
 	p.traffic.run(background, group)
 	servers := p.servers()
 	for _, s := range servers {
@@ -263,33 +264,35 @@
 	return err
 }
 
-// plannerTimeout bounds a question to the leading planner.
+// plannerTimeout bounds a request to the leading planner.
 const plannerTimeout = 3 * time.Second
 
-// leaveSpread is how long other VMs may go on naming this one after it has said
-// that it leaves: a heartbeat that was just sent, one that is lost, and the
-// next. A VM that did not wait for them would refuse callers that another VM
-// has sent a moment ago.
-const leaveSpread = 3 * fleet.DefaultPeriod
+// leavePropagation is how long other VMs may still return this VM's address after it has
+// started to leave: three heartbeat periods, for a heartbeat that was just sent, one that
+// is lost, and the next. If the VM did not wait for that, it would refuse callers that
+// another VM has just referred to it.
+const leavePropagation = 3 * fleet.DefaultPeriod
 
-// peerGrace bounds the wait for running calls of peers at the end.
+// peerGrace bounds the wait for running peer calls at shutdown.
 const peerGrace = time.Second
 
-func ignoreStop(err error) error {
+// ignoreCanceled returns nil for context.Canceled, which is the regular end of a
+// component.
+func ignoreCanceled(err error) error {
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
 	return err
 }
 
-// drain takes the VM out of the address answers and finishes what runs. If it
-// closed the listeners at once, callers that still hold this VM's address
-// would be refused, and streams that run would be cut.
+// drain removes the VM from the address answers and finishes the running requests. If it
+// closed the listeners immediately, callers that still hold this VM's address would be
+// refused, and running streams would be cut off.
 func (p *Process) drain(background context.Context, servers []*server) {
 	p.leaving.Store(true)
 	p.leases.Leave()
-	lifetime := p.addresses.book.MaxLifetime() + leaveSpread
-	p.log.Info().Dur("wait_ms", lifetime).Msg("leaving the address answers")
+	lifetime := p.addresses.book.MaxLifetime() + leavePropagation
+	p.log.Info().Dur("wait_ms", lifetime).Msg("draining: waiting until the address answers with this VM have expired")
 	select {
 	case <-time.After(lifetime):
 	case <-background.Done():
@@ -298,12 +301,12 @@
 	defer cancel()
 	for _, s := range servers {
 		if err := s.http.Shutdown(ctx); err != nil {
-			p.log.Warn().Err(err).Str("server", s.name).Msg("requests were cut at the drain timeout")
+			p.log.Warn().Err(err).Str("server", s.name).Msg("drain timeout exceeded: running requests cut off")
 			s.http.Close()
 		}
 	}
 	if err := p.traffic.flush(ctx); err != nil {
-		p.log.Warn().Err(err).Msg("answers of actions were not stored")
+		p.log.Warn().Err(err).Msg("answers of keyed actions not stored before shutdown")
 	}
 	p.log.Info().Msg("drained")
 }
@@ -314,7 +317,7 @@
 	p.services.Close()
 }
 
-// Addresses returns where the process listens, for callers and operators.
+// Addresses returns the listen addresses for callers and operators.
 func (p *Process) Addresses() (callers, operators string) {
 	return p.listeners.callers.Addr().String(), p.listeners.operators.Addr().String()
 }
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -32,10 +32,10 @@
 const (
 	teamKey     = "team-key"
 	operatorKey = "operator-key"
-	// never bounds waits for what must happen.
-	never = 30 * time.Second
-	// often is the pause between two looks.
-	often = 20 * time.Millisecond
+	// waitTimeout bounds the wait for a condition that must become true.
+	waitTimeout = 30 * time.Second
+	// pollInterval is the time between two checks of a condition.
+	pollInterval = 20 * time.Millisecond
 )
 
 const documentText = `environment: trial
@@ -47,40 +47,40 @@
 promotion: {min_time_in_force: 1h, min_requests: 1, min_attainment: 0.5, max_error_share: 0.5}
 `
 
-// world is a key-value service, an engine that has its model, and entry VMs.
-type world struct {
-	kv     *standin.Server
-	engine *standin.Server
-	files  certtest.Files
-	client *http.Client
-	vms    []*Process
-	stop   []context.CancelFunc
-	ended  []chan error
+// testCluster is a key-value service, an engine with its model loaded, and entry VMs.
+type testCluster struct {
+	kv        *standin.Server
+	engine    *standin.Server
+	files     certtest.Files
+	client    *http.Client
+	vms       []*Process
+	cancels   []context.CancelFunc
+	runErrors []chan error
 }
 
-// newWorld starts n entry VMs with TLS on every hop between own processes and
-// towards callers and operators.
-func newWorld(t *testing.T, n int) *world {
-	w := &world{files: certtest.New(t).Issue(t, t.TempDir(), "127.0.0.1")}
-	w.kv = start(t, standin.NewKV(standin.KVOptions{}))
-	w.engine = start(t, standin.NewEngine(standin.EngineOptions{
+// newTestCluster starts n entry VMs. TLS is enabled between the VMs and towards callers
+// and operators.
+func newTestCluster(t *testing.T, n int) *testCluster {
+	c := &testCluster{files: certtest.New(t).Issue(t, t.TempDir(), "127.0.0.1")}
+	c.kv = start(t, standin.NewKV(standin.KVOptions{}))
+	c.engine = start(t, standin.NewEngine(standin.EngineOptions{
 		Name: "e1", Memory: 8 * document.GiB, KVCacheReserve: document.GiB, Fencing: document.FencingEnforced, TimeScale: 100,
 		Resident: []standin.ResidentOption{{Model: "chat", Version: "v1", Memory: document.GiB}},
 	}))
-	pem, err := os.ReadFile(w.files.Authority)
+	pem, err := os.ReadFile(c.files.Authority)
 	require.NoError(t, err)
 	pool := x509.NewCertPool()
 	require.True(t, pool.AppendCertsFromPEM(pem))
-	w.client = &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
+	c.client = &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
 	peers := make([]string, n)
 	for i := range peers {
 		peers[i] = freeAddress(t)
 	}
 	for i := range n {
-		w.startVM(t, i, peers)
+		c.startVM(t, i, peers)
 	}
-	w.apply(t)
-	return w
+	c.apply(t)
+	return c
 }
 
 func start(t *testing.T, s standin.Standin) *standin.Server {
@@ -97,14 +97,14 @@
 	return l.Addr().String()
 }
 
-func (w *world) startVM(t *testing.T, i int, peers []string) {
-	files := settings.Certificate(w.files)
+func (c *testCluster) startVM(t *testing.T, i int, peers []string) {
+	files := settings.Certificate(c.files)
 	callers := freeAddress(t)
 	s := &settings.Entry{
 		VM: fmt.Sprintf("vm%d", i+1), Environment: "trial", FailureDomain: string(rune('a' + i%2)),
 		Listen: settings.EntryListen{Callers: callers, Operators: "127.0.0.1:0", Peers: peers[i]},
 		Peers:  peers,
-		KV:     settings.KV{URLs: []string{w.kv.URL()}},
+		KV:     settings.KV{URLs: []string{c.kv.URL()}},
 		TLS: settings.TLS{
 			Callers: settings.Certificate{Certificate: files.Certificate, Key: files.Key}, Operators: files, Peers: files,
 		},
@@ -118,7 +118,7 @@
 	require.NoError(t, err)
 	ended := make(chan error, 1)
 	go func() { ended <- p.Run(ctx) }()
-	w.vms, w.stop, w.ended = append(w.vms, p), append(w.stop, cancel), append(w.ended, ended)
+	c.vms, c.cancels, c.runErrors = append(c.vms, p), append(c.cancels, cancel), append(c.runErrors, ended)
 	t.Cleanup(func() {
 		cancel()
 		<-ended
@@ -126,28 +126,29 @@
 	})
 }
 
-func (w *world) apply(t *testing.T) {
-	_, operators := w.vms[0].Addresses()
-	client := &operator.Client{Server: "https://" + operators, Key: operatorKey, HTTP: w.client}
-	text := fmt.Sprintf(documentText, configstate.DigestKey(teamKey), w.engine.URL())
+func (c *testCluster) apply(t *testing.T) {
+	_, operators := c.vms[0].Addresses()
+	client := &operator.Client{Server: "https://" + operators, Key: operatorKey, HTTP: c.client}
+	text := fmt.Sprintf(documentText, configstate.DigestKey(teamKey), c.engine.URL())
 	answer, err := client.Apply(t.Context(), &operator.ApplyRequest{
 		ChangeRequest: operator.ChangeRequest{ChangeID: "c1", Nonce: "n1"}, Document: text,
 	})
 	require.NoError(t, err)
 	require.Equal(t, operator.OutcomeTookEffect, answer.Outcome)
-	for i := range w.vms {
-		require.Eventually(t, func() bool { return w.vms[i].Ready() == nil && w.complete(t, i) == http.StatusOK }, never, often)
+	for i := range c.vms {
+		require.Eventually(t, func() bool { return c.vms[i].Ready() == nil && c.complete(t, i) == http.StatusOK }, waitTimeout, pollInterval)
 	}
 }
 
-// complete makes one request at a VM and returns its status.
-func (w *world) complete(t *testing.T, vm int) int {
-	callers, _ := w.vms[vm].Addresses()
+// complete sends one completion to a VM and returns the status, or 0 if there was no
+// response.
+func (c *testCluster) complete(t *testing.T, vm int) int {
+	callers, _ := c.vms[vm].Addresses()
 	body := `{"model":"chat","prompt":"hello","max_tokens":4}`
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "https://"+callers+"/v1/completions", strings.NewReader(body))
 	require.NoError(t, err)
 	r.Header.Set("Authorization", "Bearer "+teamKey)
-	answer, err := w.client.Do(r)
+	answer, err := c.client.Do(r)
 	if err != nil {
 		return 0
 	}
@@ -157,9 +158,10 @@
 	return answer.StatusCode
 }
 
-func (w *world) named(t *testing.T, vm int) []string {
-	callers, _ := w.vms[vm].Addresses()
-	answer, err := w.client.Get("https://" + callers + "/v1/addresses")
+// advertisedURLs returns the entry URLs in a VM's address answer.
+func (c *testCluster) advertisedURLs(t *testing.T, vm int) []string {
+	callers, _ := c.vms[vm].Addresses()
+	answer, err := c.client.Get("https://" + callers + "/v1/addresses")
 	require.NoError(t, err)
 	defer answer.Body.Close()
 	var body struct {
@@ -175,31 +177,30 @@
 	return urls
 }
 
-// Own processes talk over networks that others can read. With certificates on
-// every hop the VMs still have to find each other, and a caller still has to be
-// served.
+// The networks between the processes can be read by others, hence TLS. With certificates
+// on every hop the VMs must still discover each other and serve callers.
 func TestServesOverTLSOnEveryHop(t *testing.T) {
-	w := newWorld(t, 2)
-	require.Eventually(t, func() bool { return len(w.named(t, 0)) == 2 }, never, often)
-	require.True(t, strings.HasPrefix(w.named(t, 0)[0], "https://127.0.0.1:"))
+	c := newTestCluster(t, 2)
+	require.Eventually(t, func() bool { return len(c.advertisedURLs(t, 0)) == 2 }, waitTimeout, pollInterval)
+	require.True(t, strings.HasPrefix(c.advertisedURLs(t, 0)[0], "https://127.0.0.1:"))
 }
 
-// A VM is stopped for an update. Callers that ask for an address must no longer
-// be sent there, and those that hold its address are served until it has run out.
+// A VM is stopped for an update. Its address must no longer be given to callers, and
+// callers that hold it must be served until it has expired.
 func TestStoppingVMLeavesTheAddressAnswersFirst(t *testing.T) {
-	w := newWorld(t, 2)
-	require.Eventually(t, func() bool { return len(w.named(t, 0)) == 2 }, never, often)
-	w.stop[1]()
-	require.Eventually(t, func() bool { return w.vms[1].leaving.Load() }, never, often)
-	require.Equal(t, http.StatusOK, w.complete(t, 1), "a caller that still holds the address")
-	require.Eventually(t, func() bool { return len(w.named(t, 0)) == 1 }, never, often)
-	err := <-w.ended[1]
-	w.ended[1] <- err
+	c := newTestCluster(t, 2)
+	require.Eventually(t, func() bool { return len(c.advertisedURLs(t, 0)) == 2 }, waitTimeout, pollInterval)
+	c.cancels[1]()
+	require.Eventually(t, func() bool { return c.vms[1].leaving.Load() }, waitTimeout, pollInterval)
+	require.Equal(t, http.StatusOK, c.complete(t, 1), "status of a completion at the leaving VM, whose address callers still hold")
+	require.Eventually(t, func() bool { return len(c.advertisedURLs(t, 0)) == 1 }, waitTimeout, pollInterval)
+	err := <-c.runErrors[1]
+	c.runErrors[1] <- err
 	require.NoError(t, err)
 }
 
-// An operator looks for the hop that is slow. A trace that ends at the entry VM
-// could not tell.
+// Operators use traces to find the slow hop. A trace that ends at the entry VM does not
+// show it.
 func TestTraceHasASpanForEachHop(t *testing.T) {
 	spans := tracetest.NewInMemoryExporter()
 	provider := sdktrace.NewTracerProvider(sdktrace.WithSyncer(spans))
@@ -207,14 +208,15 @@
 	otel.SetTracerProvider(provider)
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	defer otel.SetTracerProvider(before)
-	w := newWorld(t, 1)
+	c := newTestCluster(t, 1)
 	spans.Reset()
-	require.Equal(t, http.StatusOK, w.complete(t, 0))
-	require.Eventually(t, func() bool { return tracedHops(spans.GetSpans()) }, never, often)
+	require.Equal(t, http.StatusOK, c.complete(t, 0))
+	require.Eventually(t, func() bool { return hasEngineSpan(spans.GetSpans()) }, waitTimeout, pollInterval)
 }
 
-// tracedHops reports whether a caller's span has an engine's span below it.
-func tracedHops(spans tracetest.SpanStubs) bool {
+// hasEngineSpan reports whether a trace has both a caller's span and a span of the
+// request to the engine.
+func hasEngineSpan(spans tracetest.SpanStubs) bool {
 	for _, caller := range spans {
 		if !strings.HasPrefix(caller.Name, "caller POST") {
 			continue
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -5,8 +5,8 @@
 	"github.com/chestnutarch/chestnutarch/internal/ratelimit"
 )
 
-// limitsOf returns the teams' limits of a configuration.
-func limitsOf(s *configstate.Snapshot) (int64, []ratelimit.Limit) {
+// teamLimits returns the version and the teams' limits of a configuration.
+func teamLimits(s *configstate.Snapshot) (int64, []ratelimit.Limit) {
 	limits := make([]ratelimit.Limit, 0, len(s.Document.Teams))
 	for _, t := range s.Document.Teams {
 		limits = append(limits, ratelimit.Limit{Team: t.Name, Rate: t.Rate, Burst: t.Burst})
--- a/internal/entry/listen.go
+++ b/internal/entry/listen.go
@@ -15,25 +15,26 @@
 	"github.com/chestnutarch/chestnutarch/internal/transport"
 )
 
-// readHeaderTimeout bounds how long a caller may take for its headers, so that
-// slow callers can't hold connections without ever asking anything.
+// readHeaderTimeout bounds the time for receiving a request's headers, so that slow
+// clients cannot hold connections without ever sending a request.
 const readHeaderTimeout = 10 * time.Second
 
-// idleTimeout closes callers' connections that carry no request.
+// idleTimeout is the time after which a connection without requests is closed.
 const idleTimeout = 60 * time.Second
 
-// listeners are the open sockets of the process.
+// listeners holds the open listeners of the process. metrics is nil without a metrics
+// address.
 type listeners struct {
 	callers, operators, peers, metrics net.Listener
 }
 
-// openListeners opens every socket. TLS is put on all but the peers', where
-// gRPC does it by itself.
+// openListeners opens all listeners that have an address. TLS is added where it is
+// configured, except for peers, where gRPC handles it.
 func openListeners(ctx context.Context, s *settings.Entry, sec *process.Security) (*listeners, error) {
 	l := &listeners{}
-	wanted := []struct {
+	sockets := []struct {
 		address string
-		into    *net.Listener
+		target  *net.Listener
 		tls     *tls.Config
 	}{
 		{s.Listen.Callers, &l.callers, process.ServerTLS(sec.Callers)},
@@ -42,7 +43,7 @@
 		{s.Listen.Metrics, &l.metrics, nil},
 	}
 	config := transport.NewListenConfig(transport.Limits{})
-	for _, w := range wanted {
+	for _, w := range sockets {
 		if w.address == "" {
 			continue
 		}
@@ -54,7 +55,7 @@
 		if w.tls != nil {
 			opened = tls.NewListener(opened, w.tls)
 		}
-		*w.into = opened
+		*w.target = opened
 	}
 	return l, nil
 }
@@ -67,23 +68,23 @@
 	}
 }
 
-// server is one HTTP server on an open listener.
+// server is an HTTP server with its open listener.
 type server struct {
-	name string
-	http *http.Server
-	on   net.Listener
+	name     string
+	http     *http.Server
+	listener net.Listener
 }
 
 func (s *server) serve() error {
-	err := s.http.Serve(s.on)
+	err := s.http.Serve(s.listener)
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return errors.Wrap(err, s.name)
 }
 
-// servers returns the HTTP servers, in the order in which they are to be shut
-// down: callers first, so that operators can watch until the end.
+// servers returns the HTTP servers in shutdown order: callers first, so that operators
+// can observe the process until the end.
 func (p *Process) servers() []*server {
 	all := []*server{
 		p.newServer("callers", p.handler, p.listeners.callers),
@@ -96,7 +97,7 @@
 }
 
 func (p *Process) newServer(name string, handler http.Handler, on net.Listener) *server {
-	return &server{name: name, on: on, http: &http.Server{
+	return &server{name: name, listener: on, http: &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -6,7 +6,7 @@
 	"github.com/chestnutarch/chestnutarch/internal/operator"
 )
 
-// operators returns the operators' API.
+// operators returns the handler for the operators' API.
 func (p *Process) operators() http.Handler {
 	operators := make(operator.Operators, len(p.settings.Operators))
 	for _, o := range p.settings.Operators {
@@ -16,7 +16,7 @@
 		VM:            p.settings.VM,
 		Operators:     operators,
 		Configuration: p.config,
-		Evidence:      p.tally,
+		Evidence:      p.evidence,
 		Status:        p,
 		Plan:          p,
 		Drainer:       p,
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -11,38 +11,40 @@
 	"github.com/chestnutarch/chestnutarch/internal/membership"
 )
 
-// ErrNoPeer means that no other VM is heard.
-var ErrNoPeer = errors.New("entry: no other VM is heard")
+// ErrNoPeer means that no heartbeats arrive from any other VM.
+var ErrNoPeer = errors.New("entry: cannot fetch the configuration: no other VM is alive")
 
-// offer hands a peer's configuration to the keeper. Deltas that do not connect
-// with what is in force here are replaced by some VM's whole envelope.
-func (p *Process) offer(update []byte) {
+// applyPeerUpdate passes a peer's configuration update to the keeper. If its deltas
+// leave a gap to the configuration in force here, it fetches a complete envelope from a
+// random VM instead.
+func (p *Process) applyPeerUpdate(update []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.settings.KV.Timeout)
 	defer cancel()
 	err := p.config.Offer(ctx, update)
 	if errors.Is(err, configstate.ErrGap) {
-		update, err = p.pullPeer(ctx)
+		update, err = p.fetchFromPeer(ctx)
 		if err == nil {
 			err = p.config.Offer(ctx, update)
 		}
 	}
 	if err != nil {
-		p.log.Warn().Err(err).Msg("a peer's configuration cannot be used")
+		p.log.Warn().Err(err).Msg("cannot apply the configuration update of a peer")
 	}
 }
 
-// pullPeer fetches the configuration of some VM that is heard.
-func (p *Process) pullPeer(ctx context.Context) ([]byte, error) {
-	var heard []membership.Member
+// fetchFromPeer fetches the complete configuration envelope from a random VM that is
+// alive. It returns ErrNoPeer if there is none.
+func (p *Process) fetchFromPeer(ctx context.Context) ([]byte, error) {
+	var alive []membership.Member
 	for _, m := range p.fleet.View().Members {
 		if m.Status == membership.Heard {
-			heard = append(heard, m)
+			alive = append(alive, m)
 		}
 	}
-	if len(heard) == 0 {
+	if len(alive) == 0 {
 		return nil, ErrNoPeer
 	}
-	chosen := heard[rand.IntN(len(heard))]
+	chosen := alive[rand.IntN(len(alive))]
 	answer, err := p.peers.FetchConfig(ctx, chosen.PeerAddress, p.settings.KV.Timeout, 0)
 	if err != nil {
 		return nil, err
@@ -51,25 +53,25 @@
 }
 
 // watchersPerDomain is how many VMs of a failure domain keep a watch on the
-// configuration open in a large fleet: one, and one for when that one is silent.
+// configuration open in a large fleet: one, and one in case that one is unresponsive.
 const watchersPerDomain = 2
 
-// smallFleet is the number of VMs up to which each keeps a watch.
-const smallFleet = 16
+// allWatchFleetSize is the number of VMs up to which every VM keeps a watch.
+const allWatchFleetSize = 16
 
-// watches reports whether this VM keeps a watch. In a large fleet those of a
-// failure domain are the first by a hash of their names among the VMs that are
-// heard, so that every VM comes to the same choice without a word about it.
-func (p *Process) watches() bool {
-	if len(p.fleet.View().Members) < smallFleet {
+// keepsWatch reports whether this VM keeps a watch on the configuration open. In a large
+// fleet, the watchers of a failure domain are its healthy VMs with the smallest hashes of
+// their names, so that all VMs make the same choice without coordination.
+func (p *Process) keepsWatch() bool {
+	if len(p.fleet.View().Members) < allWatchFleetSize {
 		return true
 	}
-	mine := xxhash.Sum64String(p.settings.VM)
-	before := 0
+	ownHash := xxhash.Sum64String(p.settings.VM)
+	lowerHashes := 0
 	for _, n := range p.fleet.View().Healthy() {
-		if n.VM != p.settings.VM && n.FailureDomain == p.settings.FailureDomain && xxhash.Sum64String(n.VM) < mine {
-			before++
+		if n.VM != p.settings.VM && n.FailureDomain == p.settings.FailureDomain && xxhash.Sum64String(n.VM) < ownHash {
+			lowerHashes++
 		}
 	}
-	return before < watchersPerDomain
+	return lowerHashes < watchersPerDomain
 }
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -17,10 +17,10 @@
 	"github.com/chestnutarch/chestnutarch/internal/route"
 )
 
-// maxPlanBytes bounds the leader's answer.
+// maxPlanBytes bounds the size of the leading planner's answer.
 const maxPlanBytes = 64 << 20
 
-// Status tells how the environment looks from this VM.
+// Status returns the state of the environment as seen from this VM.
 func (p *Process) Status(context.Context) (*operator.Status, error) {
 	view := p.fleet.View()
 	status := &operator.Status{VM: p.settings.VM}
@@ -28,7 +28,7 @@
 	for _, m := range view.Members {
 		status.VMs = append(status.VMs, vmStatus(m.Node, stateOf(m.Node, m.Status)))
 	}
-	for _, e := range p.poller.Fleet().Engines {
+	for _, e := range p.enginePoller.Fleet().Engines {
 		status.Upstreams = append(status.Upstreams, engineStatus(&e))
 	}
 	status.Upstreams = append(status.Upstreams, p.serviceStatus()...)
@@ -36,7 +36,8 @@
 	return status, nil
 }
 
-// teamStatus joins what this VM holds of each team's limit and what waits here.
+// teamStatus returns, for each team, this VM's share of the limit and the number of
+// requests queued here.
 func (p *Process) teamStatus() []operator.TeamStatus {
 	queued := p.traffic.models.Stats().Queued
 	var all []operator.TeamStatus
@@ -98,8 +99,8 @@
 	return status
 }
 
-// serviceStatus lists the replicas of plain services. Their health is not
-// watched between calls, so that only draining is known.
+// serviceStatus lists the replicas of plain services. Their health is not monitored
+// between calls, so only draining is known.
 func (p *Process) serviceStatus() []operator.UpstreamStatus {
 	snapshot := p.config.Snapshot()
 	if snapshot == nil {
@@ -118,7 +119,9 @@
 	return all
 }
 
-// Plan asks the leading planner what it wants and why.
+// Plan fetches the current plan from the leading planner. It returns an error that is or
+// wraps ErrNoLeader if there is no leader, or if the leader cannot be reached or answers
+// with an error status.
 func (p *Process) Plan(ctx context.Context) (*operator.Plan, error) {
 	leader, err := planner.FindLeader(ctx, p.store, p.settings.Environment)
 	if errors.Is(err, kv.ErrNotFound) {
@@ -146,6 +149,7 @@
 	return planOf(status), nil
 }
 
+// planOf converts a planner's status to the operators' format.
 func planOf(s *planner.Status) *operator.Plan {
 	plan := &operator.Plan{Leader: s.Leader.VM, Fence: s.Fence, MadeAt: s.Time}
 	for _, e := range s.Engines {
@@ -156,28 +160,28 @@
 			}
 		}
 		plan.Engines = append(plan.Engines, line)
-		plan.Steps = append(plan.Steps, underWay(e)...)
+		plan.Steps = append(plan.Steps, runningSteps(e)...)
 	}
-	plan.Steps = append(plan.Steps, waiting(s)...)
+	plan.Steps = append(plan.Steps, pendingSteps(s)...)
 	return plan
 }
 
-// waiting lists the wanted copies that no order is under way for, with the
-// reason that the plan gives.
-func waiting(s *planner.Status) []operator.PlanStep {
-	type copyOf struct {
+// pendingSteps lists the planned replicas that their engine neither holds nor is loading
+// yet, with the plan's reason.
+func pendingSteps(s *planner.Status) []operator.PlanStep {
+	type replica struct {
 		engine string
 		item   placement.Item
 	}
-	held := make(map[copyOf]struct{})
+	held := make(map[replica]struct{})
 	for _, e := range s.Engines {
 		for _, h := range e.Holds {
-			held[copyOf{e.Name, h.Item}] = struct{}{}
+			held[replica{e.Name, h.Item}] = struct{}{}
 		}
 	}
 	var steps []operator.PlanStep
 	for _, a := range s.Plan.Assignments {
-		if _, done := held[copyOf{a.Engine, a.Item}]; done {
+		if _, done := held[replica{a.Engine, a.Item}]; done {
 			continue
 		}
 		steps = append(steps, operator.PlanStep{
@@ -188,8 +192,9 @@
 	return steps
 }
 
-// underWay lists what an engine's memory account still has open.
-func underWay(e planner.EngineStatus) []operator.PlanStep {
+// runningSteps lists the loads and unloads that are in progress on an engine, by its
+// memory account.
+func runningSteps(e planner.EngineStatus) []operator.PlanStep {
 	var steps []operator.PlanStep
 	for _, h := range e.Holds {
 		step := operator.PlanStep{Engine: e.Name, Item: h.Item.String(), Version: h.Version, State: "running"}
@@ -206,11 +211,12 @@
 	return steps
 }
 
-// Drain takes this VM out of the address answers, or back in. It stays up: the
-// platform stops it afterwards.
+// Drain removes this VM from the address answers or, with undo, adds it again. The
+// process keeps running: the platform stops it afterwards. The error is ErrDrainOtherVM
+// if target is not this VM.
 func (p *Process) Drain(_ context.Context, target string, undo bool) (*operator.DrainAnswer, error) {
 	if target != p.settings.VM {
-		return nil, ErrOtherVM
+		return nil, ErrDrainOtherVM
 	}
 	p.leaving.Store(!undo)
 	return &operator.DrainAnswer{Target: target, InFlight: int64(p.handler.InFlight())}, nil
--- a/internal/entry/traffic.go
+++ b/internal/entry/traffic.go
@@ -21,25 +21,26 @@
 	"github.com/chestnutarch/chestnutarch/internal/route"
 )
 
-// poolMaxInFlight bounds the requests of this VM at one replica of a plain service.
+// poolMaxInFlight bounds the requests in flight from this VM to one replica of a plain
+// service.
 const poolMaxInFlight = 64
 
-// flushTimeout bounds the wait for answers of actions that are being stored when
-// the process stops.
+// flushTimeout bounds the wait at shutdown for answers of keyed actions that are being
+// stored.
 const flushTimeout = 10 * time.Second
 
-// traffic is what stands between callers and upstreams.
+// traffic holds the components between callers and upstreams.
 type traffic struct {
 	models *dispatch.Dispatcher
 	pools  *dispatch.Dispatcher
 	relay  *relay.Relay
 	ring   *resume.Ring
 	claims *claims.Claims
-	// release tells other VMs of streams that are read here.
-	release relay.Releaser
+	// releaser notifies other VMs of streams that are read at this VM.
+	releaser relay.Releaser
 }
 
-// buildTraffic makes the queues, the relay and the claims.
+// buildTraffic creates the dispatchers, the relay and the claims.
 func (p *Process) buildTraffic() error {
 	ring, err := p.resumeRing()
 	if err != nil {
@@ -50,35 +51,36 @@
 		return m.PeerAddress
 	}
 	asker := claims.PeerAsker{Pool: p.peers, Address: address}
-	pools := &poolFleet{config: p.config.Snapshot, leaving: p.vms.Leaving}
+	pools := &poolFleet{config: p.config.Snapshot, leaving: p.vmList.Leaving}
 	t := &traffic{
 		ring:  ring,
 		relay: relay.New(relay.Options{Engines: p.engines}),
 		models: dispatch.New(dispatch.Options{
-			Fleet: p.poller.Fleet, Teams: p.teams, Seed: seed(),
-			Peers:    func() dispatch.Peers { return peersOf(p.fleet.View()) },
-			Borrower: dispatch.PeerBorrower{Pool: p.peers, Address: p.addressAt},
+			Fleet: p.enginePoller.Fleet, Teams: p.teams, Seed: randomSeed(),
+			Peers:    func() dispatch.Peers { return summarizePeers(p.fleet.View()) },
+			Borrower: dispatch.PeerBorrower{Pool: p.peers, Address: p.peerAddressByRank},
 		}),
 		pools: dispatch.New(dispatch.Options{
 			Route: route.Options{MaxInFlight: poolMaxInFlight},
-			Fleet: pools.fleet, Teams: p.teams, Seed: seed(),
+			Fleet: pools.fleet, Teams: p.teams, Seed: randomSeed(),
 		}),
 		claims: claims.New(claims.Options{
 			Store: p.store, Environment: p.settings.Environment, VM: p.settings.VM,
-			Asker: asker, Forwarder: asker, Preferred: p.preferred,
+			Asker: asker, Forwarder: asker, Preferred: p.preferredClaimWriter,
 		}),
-		release: relay.Releaser{Pool: p.peers, Address: address, For: relay.DefaultGrace},
+		releaser: relay.Releaser{Pool: p.peers, Address: address, For: relay.DefaultGrace},
 	}
-	t.models.Register(p.peerCalls.Registrar())
-	t.claims.Register(p.peerCalls.Registrar())
-	t.relay.Register(p.peerCalls.Registrar())
+	t.models.Register(p.peerServer.Registrar())
+	t.claims.Register(p.peerServer.Registrar())
+	t.relay.Register(p.peerServer.Registrar())
 	p.traffic = t
-	t.measure(p.metrics)
+	t.registerGauges(p.metrics)
 	return nil
 }
 
-// measure registers what the queues hold and refuse.
-func (t *traffic) measure(r metrics.Registry) {
+// registerGauges registers gauges for the queued, in-flight and refused requests of the
+// dispatchers.
+func (t *traffic) registerGauges(r metrics.Registry) {
 	for name, d := range map[string]*dispatch.Dispatcher{"models": t.models, "pools": t.pools} {
 		gauges := map[string]func() int64{
 			"queued":    func() int64 { return int64(d.Stats().Waiting()) },
@@ -93,39 +95,40 @@
 	}
 }
 
-// run starts the goroutines that own the queues and the claims.
+// run starts the goroutines of the dispatchers and the claims.
 func (t *traffic) run(ctx context.Context, group *errgroup.Group) {
-	for _, owner := range []func(context.Context) error{t.models.Run, t.pools.Run, t.claims.Run} {
-		group.Go(func() error { return ignoreStop(owner(ctx)) })
+	for _, run := range []func(context.Context) error{t.models.Run, t.pools.Run, t.claims.Run} {
+		group.Go(func() error { return ignoreCanceled(run(ctx)) })
 	}
 }
 
-// flush waits until the answers of actions are stored.
+// flush waits until the answers of keyed actions are stored, for at most flushTimeout.
 func (t *traffic) flush(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
 	return t.claims.Flush(ctx)
 }
 
-// resumeRing makes the secrets that sign resume tokens. Without any in the
-// settings a stream can be resumed at this VM only, and not after a restart.
+// resumeRing creates the key ring that signs resume tokens. Without secrets in the
+// settings it generates one, and streams can be resumed only at this VM and not after a
+// restart.
 func (p *Process) resumeRing() (*resume.Ring, error) {
 	var secrets [][]byte
 	for _, s := range p.settings.ResumeSecrets {
 		secrets = append(secrets, []byte(s))
 	}
 	if len(secrets) == 0 {
-		p.log.Warn().Msg("no resume_secrets in the settings: streams can be resumed at this VM only")
-		own := make([]byte, resume.MinSecretBytes)
+		p.log.Warn().Msg("no resume_secrets in the settings: streams can be resumed only at this VM and not after a restart")
+		secret := make([]byte, resume.MinSecretBytes)
 		// crypto/rand never returns an error.
-		_, _ = rand.Read(own)
-		secrets = append(secrets, own)
+		_, _ = rand.Read(secret)
+		secrets = append(secrets, secret)
 	}
 	return resume.NewRing(secrets...)
 }
 
-// seed starts the random draws of a decision.
-func seed() uint64 {
+// randomSeed returns a random seed for a dispatcher.
+func randomSeed() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
 	return binary.LittleEndian.Uint64(b[:])
@@ -139,8 +142,8 @@
 	return s.Document.Teams
 }
 
-// peersOf sums up what the heartbeats tell of the other VMs.
-func peersOf(v *membership.View) dispatch.Peers {
+// summarizePeers summarizes the heartbeats of the other VMs that are alive.
+func summarizePeers(v *membership.View) dispatch.Peers {
 	peers := dispatch.Peers{VMs: 1, Served: make(map[string]int64)}
 	for _, m := range v.Members {
 		if m.Status != membership.Heard {
@@ -158,8 +161,8 @@
 	return peers
 }
 
-// preferred returns the VM that should write a shard of claims.
-func (p *Process) preferred(shard int) string {
+// preferredClaimWriter returns the VM that should write a shard of claims.
+func (p *Process) preferredClaimWriter(shard int) string {
 	view := p.fleet.View()
 	vms := []string{view.Self.VM}
 	for _, m := range view.Members {
@@ -170,15 +173,15 @@
 	return claim.Preferred(shard, vms)
 }
 
-// addressAt returns the address for peers of the VM at a place in the order of the
-// names of the VMs that are heard, or "" for this VM.
-func (p *Process) addressAt(rank int) string {
+// peerAddressByRank returns the peer address of the VM with a rank, from 0, in the name
+// order of the VMs that are alive. It returns "" for this VM and for an unknown rank.
+func (p *Process) peerAddressByRank(rank int) string {
 	view := p.fleet.View()
-	own := peersOf(view).Rank
-	if rank == own {
+	ownRank := summarizePeers(view).Rank
+	if rank == ownRank {
 		return ""
 	}
-	if rank > own {
+	if rank > ownRank {
 		rank--
 	}
 	for _, m := range view.Members {
@@ -193,33 +196,33 @@
 	return ""
 }
 
-// poolFleet makes the fleet of plain services, anew when the configuration or the
-// list of leaving VMs has changed.
+// poolFleet builds the fleet of plain services and caches it. It is rebuilt when the
+// configuration has changed, and every poolRefreshInterval for the list of leaving VMs.
 type poolFleet struct {
 	config  func() *configstate.Snapshot
 	leaving func(address string) bool
-	made    atomic.Pointer[madeFleet]
+	cached  atomic.Pointer[cachedFleet]
 }
 
-type madeFleet struct {
-	from  *configstate.Snapshot
-	at    time.Time
-	fleet *route.Fleet
+type cachedFleet struct {
+	config  *configstate.Snapshot
+	builtAt time.Time
+	fleet   *route.Fleet
 }
 
-// poolRefresh is how often the list of leaving VMs is looked at.
-const poolRefresh = 500 * time.Millisecond
+// poolRefreshInterval is how often the list of leaving VMs is read.
+const poolRefreshInterval = 500 * time.Millisecond
 
 func (f *poolFleet) fleet() *route.Fleet {
 	config := f.config()
-	made := f.made.Load()
-	if made != nil && made.from == config && time.Since(made.at) < poolRefresh {
-		return made.fleet
+	cached := f.cached.Load()
+	if cached != nil && cached.config == config && time.Since(cached.builtAt) < poolRefreshInterval {
+		return cached.fleet
 	}
-	made = &madeFleet{from: config, at: time.Now(), fleet: &route.Fleet{}}
+	cached = &cachedFleet{config: config, builtAt: time.Now(), fleet: &route.Fleet{}}
 	if config != nil {
-		made.fleet = route.PoolFleet(config.Document.Services, f.leaving)
+		cached.fleet = route.PoolFleet(config.Document.Services, f.leaving)
 	}
-	f.made.Store(made)
-	return made.fleet
+	f.cached.Store(cached)
+	return cached.fleet
 }
