--- a/internal/route/budget.go
+++ b/internal/route/budget.go
@@ -3,37 +3,38 @@
 import "time"
 
 const (
-	// budgetShare is the number of retries that each first try pays for.
-	budgetShare = 0.2
-	// budgetMax is the largest number of retries that can be saved up.
+	// budgetRatio is the number of retries that each first attempt adds to the budget.
+	budgetRatio = 0.2
+	// budgetMax is the largest number of retries that the budget can accumulate.
 	budgetMax = 20
-	// budgetFill is how many retries a second are allowed whatever the traffic,
+	// budgetRefillPerSecond is the number of retries per second added regardless of traffic,
 	// so that a quiet VM can retry too.
-	budgetFill = 1
+	budgetRefillPerSecond = 1
 )
 
-// Budget bounds retries to a share of the first tries. When upstreams fail for
-// everybody, retries without a bound would multiply the load just then. It belongs
-// to one goroutine, or stands under a lock.
+// Budget is a retry budget: it limits retries to a fraction of the first attempts.
+// Without it, retries would multiply the load exactly when the upstreams fail for
+// every caller. It is not safe for concurrent use without a lock.
 type Budget struct {
-	balance float64
-	at      time.Time
+	balance    float64
+	refilledAt time.Time
 }
 
 // NewBudget returns a full budget.
 func NewBudget(now time.Time) *Budget {
-	return &Budget{balance: budgetMax, at: now}
+	return &Budget{balance: budgetMax, refilledAt: now}
 }
 
-// Deposit notes a first try.
+// Deposit records a first attempt.
 func (b *Budget) Deposit(now time.Time) {
-	b.fill(now)
-	b.balance = min(budgetMax, b.balance+budgetShare)
+	b.refill(now)
+	b.balance = min(budgetMax, b.balance+budgetRatio)
 }
 
-// Withdraw reports whether a retry may be made, and takes it from the budget.
+// Withdraw reports whether a retry may be made. If so, it is subtracted from the
+// budget.
 func (b *Budget) Withdraw(now time.Time) bool {
-	b.fill(now)
+	b.refill(now)
 	if b.balance < 1 {
 		return false
 	}
@@ -41,9 +42,9 @@
 	return true
 }
 
-func (b *Budget) fill(now time.Time) {
-	if now.After(b.at) {
-		b.balance = min(budgetMax, b.balance+now.Sub(b.at).Seconds()*budgetFill)
-		b.at = now
+func (b *Budget) refill(now time.Time) {
+	if now.After(b.refilledAt) {
+		b.balance = min(budgetMax, b.balance+now.Sub(b.refilledAt).Seconds()*budgetRefillPerSecond)
+		b.refilledAt = now
 	}
 }
--- a/internal/route/fleet.go
+++ b/internal/route/fleet.go
@@ -6,7 +6,8 @@
 	"github.com/chestnutarch/chestnutarch/internal/document"
 )
 
-// Item names what a request asks for: a base model if Adapter is empty.
+// Item identifies what a request asks for: a base model if Adapter is empty, and
+// otherwise an adapter of that model.
 type Item struct {
 	// Model is the base model's name.
 	Model string
@@ -14,49 +15,50 @@
 	Adapter string
 }
 
-// Engine is what is known of one engine.
+// Engine is the last reported state of one engine.
 type Engine struct {
 	// Name identifies the engine.
 	Name string
 	// URL is the base address.
 	URL string
-	// FailureDomain is where the engine stands.
+	// FailureDomain is the engine's failure domain.
 	FailureDomain string
 	// Incarnation changes when the engine restarts.
 	Incarnation string
-	// Reachable means that a report came lately.
+	// Reachable means that the engine has reported recently.
 	Reachable bool
-	// Leaving means that the engine takes no new work.
+	// Leaving means that the engine accepts no new requests.
 	Leaving bool
-	// Running and Waiting are the requests of the last report.
+	// Running and Waiting are the numbers of running and queued requests in the
+	// last report.
 	Running int
 	Waiting int
-	// ReportedAt is when the last report came, by this VM's clock.
+	// ReportedAt is when the last report arrived, by this VM's clock.
 	ReportedAt time.Time
-	// Ready holds the versions of each item that can serve.
+	// Ready holds, for each item, the versions that are ready to serve.
 	Ready map[Item][]string
 }
 
-// Serves reports whether the engine has the item ready, in whatever version.
+// Serves reports whether the engine has any version of the item ready.
 func (e *Engine) Serves(i Item) bool {
 	return len(e.Ready[i]) > 0
 }
 
-// Fleet is all engines at one time. It is immutable once published.
+// Fleet is a snapshot of all engines. It is immutable once published.
 type Fleet struct {
-	// Engines are in the document's order.
+	// Engines are in the order of the configuration document.
 	Engines []Engine
 }
 
-// PoolItem is the item that stands for a pool of plain services.
+// PoolItem returns the item that represents a pool of replicas of a plain service.
 func PoolItem(name string) Item {
 	return Item{Model: name}
 }
 
-// PoolFleet returns the replicas of plain services as a fleet, one item a pool.
-// Services make no load reports: they are chosen by this VM's own requests and by
-// how those ended. Leaving reports whether the VM at an address "IP:port" is
-// leaving.
+// PoolFleet returns the replicas of plain services as a fleet with one item per
+// pool. Services send no load reports: a replica is chosen by this VM's own
+// requests in flight and by their outcomes. leaving reports whether the VM at an
+// address "IP:port" is leaving.
 func PoolFleet(services []document.Service, leaving func(address string) bool) *Fleet {
 	f := &Fleet{}
 	for _, s := range services {
--- a/internal/route/outcome.go
+++ b/internal/route/outcome.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// Started notes that a request was given to an engine.
+// Started records that a request was dispatched to an engine.
 func (r *Router) Started(engine string, i Item, now time.Time) {
-	r.tracked(engine).note(now, 1)
+	r.stateOf(engine).record(now, 1)
 	if i.Adapter != "" {
-		r.adapter[i]++
+		r.adapterInFlight[i]++
 	}
 }
 
-// Finished notes that a request has ended at an engine. Healthy is false if the
-// engine failed it: unreachable, silent, truncated or answering another request. What a
-// caller did, such as going away, is not the engine's failure.
+// Finished records that a request has ended at an engine. healthy is false if the
+// engine failed the request: it was unreachable, sent no response, truncated the
+// response or answered another request. Caller actions, such as a disconnect, do
+// not count as failures of the engine.
 func (r *Router) Finished(engine string, i Item, healthy bool, now time.Time) {
-	t := r.tracked(engine)
-	t.note(now, -1)
+	t := r.stateOf(engine)
+	t.record(now, -1)
 	if i.Adapter != "" {
-		r.release(i)
+		r.releaseAdapter(i)
 	}
 	if healthy {
 		t.failures, t.ejections = 0, 0
@@ -29,28 +30,28 @@
 	}
 }
 
-func (r *Router) release(i Item) {
-	if r.adapter[i] <= 1 {
-		delete(r.adapter, i)
+func (r *Router) releaseAdapter(i Item) {
+	if r.adapterInFlight[i] <= 1 {
+		delete(r.adapterInFlight, i)
 		return
 	}
-	r.adapter[i]--
+	r.adapterInFlight[i]--
 }
 
-// eject takes an engine out for a while, unless too many are out. A fault of our
-// own network looks like a failure of every engine; with no bound it would leave
-// none to serve.
-func (r *Router) eject(t *tracked, now time.Time) {
+// eject ejects an engine for a limited time, unless too many are ejected already.
+// A fault of this VM's own network looks like a failure of every engine; without
+// the limit it would eject them all.
+func (r *Router) eject(t *engineState, now time.Time) {
 	if now.Before(t.ejectedUntil) {
 		return
 	}
-	out := 0
+	ejected := 0
 	for _, other := range r.engines {
 		if now.Before(other.ejectedUntil) {
-			out++
+			ejected++
 		}
 	}
-	if !r.faults.ejectAll && float64(out+1) > r.options.MaxEjected*float64(len(r.fleet.Engines)) {
+	if !r.faults.ejectAll && float64(ejected+1) > r.options.MaxEjected*float64(len(r.fleet.Engines)) {
 		return
 	}
 	t.ejectedUntil = now.Add(r.options.EjectFor << min(t.ejections, maxEjectDoublings))
@@ -58,12 +59,12 @@
 	t.failures = 0
 }
 
-// InFlight returns this VM's requests at an engine.
+// InFlight returns the number of this VM's requests in flight at an engine.
 func (r *Router) InFlight(engine string) int {
-	return r.tracked(engine).inFlight
+	return r.stateOf(engine).inFlight
 }
 
-// AdapterInFlight returns this VM's requests for an adapter.
+// AdapterInFlight returns the number of this VM's requests in flight for an adapter.
 func (r *Router) AdapterInFlight(i Item) int {
-	return r.adapter[i]
+	return r.adapterInFlight[i]
 }
--- a/internal/route/parts.go
+++ b/internal/route/parts.go
@@ -2,89 +2,92 @@
 
 import "time"
 
-// Parts holds this VM's parts of the limits that hold over all VMs together, such
-// as an adapter's requests in flight. Each VM has an equal part, so that nobody has
-// to be asked while demand is spread; a VM that runs short borrows from others for a
-// while. The parts of all VMs sum up to no more than the limit as long as they agree
-// on who is in the fleet. Parts belongs to one goroutine.
+// Parts holds this VM's shares of fleet-wide limits, such as the limit on an
+// adapter's requests in flight. Each VM has an equal share, so that no coordination
+// is needed while demand is spread evenly; a VM that runs short borrows from others
+// for a limited time. The shares of all VMs add up to no more than the limit as long
+// as the VMs agree on the fleet's members. Parts is not safe for concurrent use.
 type Parts struct {
 	vms, rank int
-	given     map[Item][]loan
-	taken     map[Item][]loan
+	lent      map[Item][]loan
+	borrowed  map[Item][]loan
 }
 
-// loan is a number of places until a time.
+// loan is a number of in-flight slots lent until a time.
 type loan struct {
-	n     int
+	slots int
 	until time.Time
 }
 
-// LoanLife is how long a loan holds, by the clocks of both sides: the borrower
-// counts from before he asked, the lender from when he gave.
+// LoanLife is the lifetime of a loan by the clocks of both sides. The borrower
+// counts from before it sent its request, the lender from when it granted the loan.
 const LoanLife = 2 * time.Second
 
-// NewParts returns the parts of a VM that is alone.
+// NewParts returns the shares of a VM that is alone in the fleet.
 func NewParts() *Parts {
-	return &Parts{vms: 1, given: make(map[Item][]loan), taken: make(map[Item][]loan)}
+	return &Parts{vms: 1, lent: make(map[Item][]loan), borrowed: make(map[Item][]loan)}
 }
 
-// SetFleet says how many VMs there are, and this VM's place in their order, from 0.
+// SetFleet sets the number of VMs and this VM's rank in their order, from 0.
 func (p *Parts) SetFleet(vms, rank int) {
 	p.vms, p.rank = max(1, vms), rank
 }
 
-// Part returns how much of a limit this VM may use now. 0 means nothing: the caller
-// has to tell an item without a limit apart before.
+// Part returns how much of a limit this VM may use now. 0 means none of it: callers
+// must handle items without a limit themselves.
 func (p *Parts) Part(i Item, limit int, now time.Time) int {
-	part := limit / p.vms
+	share := limit / p.vms
 	if p.rank < limit%p.vms {
-		part++
+		share++
 	}
-	return max(0, part+sum(p.taken, i, now)-sum(p.given, i, now))
+	return max(0, share+sumActive(p.borrowed, i, now)-sumActive(p.lent, i, now))
 }
 
-// Lend gives half of what this VM does not use to another one, at most what that
-// one wants, and returns how much.
+// Lend lends half of this VM's unused share, rounded up, to another VM, but no more
+// than want, and returns the number of slots lent.
 func (p *Parts) Lend(i Item, limit, inUse, want int, now time.Time) int {
 	spare := p.Part(i, limit, now) - inUse
 	n := min(want, (spare+1)/2)
 	if n <= 0 {
 		return 0
 	}
-	p.given[i] = append(p.given[i], loan{n: n, until: now.Add(LoanLife)})
+	p.lent[i] = append(p.lent[i], loan{slots: n, until: now.Add(LoanLife)})
 	return n
 }
 
-// Took notes what another VM has lent, and when it was asked.
+// Took records a loan of n slots from another VM. asked is when the request for it
+// was sent.
 func (p *Parts) Took(i Item, n int, asked time.Time) {
 	if n > 0 {
-		p.taken[i] = append(p.taken[i], loan{n: n, until: asked.Add(LoanLife)})
+		p.borrowed[i] = append(p.borrowed[i], loan{slots: n, until: asked.Add(LoanLife)})
 	}
 }
 
-// sum adds up the loans that hold, and forgets the others.
-func sum(loans map[Item][]loan, i Item, now time.Time) int {
-	held := loans[i]
-	if len(held) == 0 {
+// sumActive returns the total of the loans that have not expired and removes the
+// others.
+func sumActive(loans map[Item][]loan, i Item, now time.Time) int {
+	all := loans[i]
+	if len(all) == 0 {
 		return 0
 	}
 	total := 0
-	kept := held[:0]
-	for _, l := range held {
+	active := all[:0]
+	for _, l := range all {
 		if now.Before(l.until) {
-			kept = append(kept, l)
-			total += l.n
+			active = append(active, l)
+			total += l.slots
 		}
 	}
-	if len(kept) == 0 {
+	if len(active) == 0 {
 		delete(loans, i)
 		return 0
 	}
-	loans[i] = kept
+	loans[i] = active
 	return total
 }
 
-// Lenders returns how many VMs, in their order, have a part of a limit of their own.
+// Lenders returns the number of VMs, from rank 0 on, whose own share of a limit is
+// not 0.
 func Lenders(limit, vms int) int {
 	return min(limit, vms)
 }
--- a/internal/route/prefix.go
+++ b/internal/route/prefix.go
@@ -2,24 +2,25 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Prefix is the hash of an item and the beginning of a prompt. NoPrefix stands
-// for a prompt that is too short to be worth an engine's cache.
+// Prefix is the hash of an item and the beginning of a prompt, or NoPrefix if the
+// prompt is too short for prefix caching to pay off.
 type Prefix uint64
 
-// NoPrefix means that there is no prefix to go by.
+// NoPrefix means that there is no prefix to route by.
 const NoPrefix Prefix = 0
 
 const (
-	// PrefixBytes is how much of a prompt is hashed. Prompts that agree so far
-	// go to the same engines.
+	// PrefixBytes is the maximum number of bytes of a prompt that are hashed.
+	// Prompts that agree in these bytes are routed to the same engines.
 	PrefixBytes = 4 << 10
-	// MinPrefixBytes is the length below which a prompt has no prefix.
+	// MinPrefixBytes is the length in bytes below which a prompt has no prefix. It
+	// is also the size of the blocks to which PrefixOf rounds down.
 	MinPrefixBytes = 512
 )
 
-// PrefixOf returns the prefix of a prompt. Its length is rounded down to whole
-// blocks, so that a question behind a shared text shorter than PrefixBytes does
-// not change the hash of the text's blocks before it.
+// PrefixOf returns the prefix of a prompt for an item. The hashed length is rounded
+// down to whole blocks of MinPrefixBytes, so that a question that follows a shared
+// text shorter than PrefixBytes does not change the hash of the blocks before it.
 func PrefixOf(i Item, prompt string) Prefix {
 	if len(prompt) < MinPrefixBytes {
 		return NoPrefix
@@ -35,10 +36,11 @@
 	return max(Prefix(d.Sum64()), 1)
 }
 
-// score is the place of an engine, by the hash of its name, in a prefix's order
-// (rendezvous hashing): each VM computes the same order without a message, and an
-// engine that comes or goes moves only its own prefixes. The two hashes are mixed as
-// in SplitMix64 (Steele, Lea and Flood, 2014).
+// score returns the rendezvous hashing score of an engine, given by the hash of its
+// name, for a prefix. The engine with the highest score comes first. Each VM computes
+// the same order without communication, and an engine that joins or leaves moves only
+// its own prefixes. The two hashes are mixed as in SplitMix64 (Steele, Lea and Flood,
+// 2014).
 func (p Prefix) score(engine uint64) uint64 {
 	z := uint64(p) ^ engine
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -11,60 +11,60 @@
 )
 
 var (
-	// ErrNoReplica means that no engine that may take new work has the item.
-	ErrNoReplica = errors.New("route: no engine serves the item")
-	// ErrBusy means that every engine with the item has all it can take.
-	ErrBusy = errors.New("route: every engine with the item is busy")
-	// ErrPartUsed means that this VM's part of the item's limit is used up.
-	ErrPartUsed = errors.New("route: this VM's part of the item's limit is used up")
+	// ErrNoReplica means that no engine that accepts new requests has the item ready.
+	ErrNoReplica = errors.New("route: no engine that accepts requests serves the requested item")
+	// ErrBusy means that every engine with the item is at capacity.
+	ErrBusy = errors.New("route: every engine that serves the requested item is at capacity")
+	// ErrPartUsed means that this VM's share of the item's limit is used up.
+	ErrPartUsed = errors.New("route: this VM's share of the item's in-flight limit is used up")
 )
 
-// Router chooses engines. It belongs to one goroutine.
+// Router selects engines for requests. It is not safe for concurrent use.
 type Router struct {
-	options Options
-	fleet   *Fleet
-	engines map[string]*tracked
-	adapter map[Item]int
-	spread  float64
-	turn    uint64
-	// serving holds the engines with an item, for the items that were asked for
-	// since the fleet came. Without it each choice would look at every engine.
+	options         Options
+	fleet           *Fleet
+	engines         map[string]*engineState
+	adapterInFlight map[Item]int
+	fleetMultiplier float64
+	roundRobinTurn  uint64
+	// serving caches the engines that serve an item, for the items requested since
+	// the last SetFleet. Without it each selection would scan every engine.
 	serving map[Item][]*candidate
 	faults  faults
 }
 
-// faults are planted by tests, to show that their oracles find them.
+// faults are injected by tests, to show that their oracles detect them.
 type faults struct {
-	// trustReports takes the last report alone for the load.
+	// trustReports uses the last report alone as the load.
 	trustReports bool
-	// keepLeaving offers engines that are leaving.
+	// keepLeaving keeps engines that are leaving among the candidates.
 	keepLeaving bool
-	// ejectAll ejects without a bound.
+	// ejectAll ejects engines without the MaxEjected limit.
 	ejectAll bool
-	// ignorePart disregards this VM's part of an adapter's limit.
+	// ignorePart ignores this VM's share of an adapter's limit.
 	ignorePart bool
 }
 
-// candidate is an engine with what this VM knows of it.
+// candidate is an engine with the local state that the router keeps for it.
 type candidate struct {
 	*Engine
-	state *tracked
+	state *engineState
 }
 
 // New returns a router with an empty fleet.
 func New(o Options) *Router {
 	return &Router{
-		options: o.withDefaults(),
-		fleet:   &Fleet{},
-		engines: make(map[string]*tracked),
-		adapter: make(map[Item]int),
-		serving: make(map[Item][]*candidate),
-		spread:  1,
+		options:         o.withDefaults(),
+		fleet:           &Fleet{},
+		engines:         make(map[string]*engineState),
+		adapterInFlight: make(map[Item]int),
+		serving:         make(map[Item][]*candidate),
+		fleetMultiplier: 1,
 	}
 }
 
-// SetFleet takes a new snapshot. What is known of engines that are gone is
-// forgotten once nothing of this VM runs there.
+// SetFleet replaces the fleet snapshot. The state of engines that are no longer
+// listed is deleted by a call that finds no request of this VM in flight there.
 func (r *Router) SetFleet(f *Fleet) {
 	r.fleet = f
 	clear(r.serving)
@@ -72,7 +72,7 @@
 	for i := range f.Engines {
 		e := &f.Engines[i]
 		present[e.Name] = true
-		r.tracked(e.Name).settle(e.ReportedAt, r.options.ReportLag)
+		r.stateOf(e.Name).discardReported(e.ReportedAt, r.options.ReportLag)
 	}
 	for name, t := range r.engines {
 		if !present[name] && t.inFlight == 0 {
@@ -81,76 +81,78 @@
 	}
 }
 
-// SetSpread says how many times this VM's dispatches all VMs make together, by
-// their heartbeats. It is at least 1.
-func (r *Router) SetSpread(s float64) {
-	r.spread = max(1, s)
+// SetSpread sets the ratio of all VMs' dispatches to this VM's dispatches, as
+// derived from heartbeats. Values below 1 count as 1.
+func (r *Router) SetSpread(multiplier float64) {
+	r.fleetMultiplier = max(1, multiplier)
 }
 
-func (r *Router) tracked(name string) *tracked {
+func (r *Router) stateOf(name string) *engineState {
 	t := r.engines[name]
 	if t == nil {
-		t = &tracked{hash: xxhash.Sum64String(name)}
+		t = &engineState{hash: xxhash.Sum64String(name)}
 		r.engines[name] = t
 	}
 	return t
 }
 
-// Request is what a choice depends on.
+// Request holds the properties of a request that determine its engine.
 type Request struct {
-	// Item is what is asked for.
+	// Item is the requested item.
 	Item Item
-	// Version is the version in force. Engines that have it ready go first.
+	// Version is the item's version in force. Engines that have it ready are
+	// preferred.
 	Version string
-	// Prefix is the prompt's, or NoPrefix.
+	// Prefix is the hash of the prompt's prefix, or NoPrefix.
 	Prefix Prefix
-	// Limited means that the item has a limit over all VMs, of which MaxInFlight
-	// is this VM's part.
+	// Limited means that the item has an in-flight limit over all VMs, of which
+	// MaxInFlight is this VM's share.
 	Limited     bool
 	MaxInFlight int
-	// Avoid names engines that have failed this request already.
+	// Avoid names engines that have already failed this request.
 	Avoid []string
 }
 
-// Available returns nil if an engine can be picked for a request now, and
-// otherwise ErrNoReplica, ErrBusy or ErrPartUsed. It draws no random number.
+// Available returns nil if Pick would find an engine for the request now, and
+// otherwise ErrNoReplica, ErrBusy or ErrPartUsed. It draws no random numbers.
 func (r *Router) Available(q Request, now time.Time) error {
-	_, err := r.free(q, now)
+	_, err := r.available(q, now)
 	return err
 }
 
-// Pick returns the engine for a request, which must then be told to Started. It
-// returns ErrNoReplica, ErrBusy or ErrPartUsed. Equal random numbers give equal choices.
+// Pick returns the engine for a request. The caller must then pass the engine to
+// Started. Pick returns ErrNoReplica, ErrBusy or ErrPartUsed if there is none. Equal
+// random numbers give equal results.
 func (r *Router) Pick(q Request, now time.Time, rng *rand.Rand) (Engine, error) {
-	free, err := r.free(q, now)
+	free, err := r.available(q, now)
 	if err != nil {
 		return Engine{}, err
 	}
 	return *r.choose(free, q, rng).Engine, nil
 }
 
-// free returns the engines that can take a request now.
-func (r *Router) free(q Request, now time.Time) ([]*candidate, error) {
+// available returns the candidates for a request that have capacity now.
+func (r *Router) available(q Request, now time.Time) ([]*candidate, error) {
 	candidates := r.candidates(q, now)
 	if len(candidates) == 0 {
 		return nil, ErrNoReplica
 	}
-	if q.Limited && r.adapter[q.Item] >= q.MaxInFlight && !r.faults.ignorePart {
+	if q.Limited && r.adapterInFlight[q.Item] >= q.MaxInFlight && !r.faults.ignorePart {
 		return nil, ErrPartUsed
 	}
-	free := slices.DeleteFunc(candidates, r.full)
+	free := slices.DeleteFunc(candidates, r.atCapacity)
 	if len(free) == 0 {
 		return nil, ErrBusy
 	}
 	return free, nil
 }
 
-// candidates returns the engines that may serve a request: those with the
-// version in force, else those with any. Ejected engines come only if there are
-// no others, since a slow answer is better than none.
+// candidates returns the engines that may serve a request: those with the version in
+// force, or else those with any version. Ejected engines are returned only if there
+// are no others, because a slow response is better than none.
 func (r *Router) candidates(q Request, now time.Time) []*candidate {
 	var current, other, ejected []*candidate
-	for _, e := range r.with(q.Item) {
+	for _, e := range r.enginesServing(q.Item) {
 		if slices.Contains(q.Avoid, e.Name) {
 			continue
 		}
@@ -172,49 +174,49 @@
 	return ejected
 }
 
-// with returns the engines that take work and have an item ready.
-func (r *Router) with(i Item) []*candidate {
-	all, known := r.serving[i]
-	if known {
+// enginesServing returns the engines that accept requests and have the item ready.
+func (r *Router) enginesServing(i Item) []*candidate {
+	all, cached := r.serving[i]
+	if cached {
 		return all
 	}
 	for n := range r.fleet.Engines {
 		e := &r.fleet.Engines[n]
-		if r.takesWork(e) && e.Serves(i) {
-			all = append(all, &candidate{Engine: e, state: r.tracked(e.Name)})
+		if r.acceptsRequests(e) && e.Serves(i) {
+			all = append(all, &candidate{Engine: e, state: r.stateOf(e.Name)})
 		}
 	}
 	r.serving[i] = all
 	return all
 }
 
-func (r *Router) takesWork(e *Engine) bool {
+func (r *Router) acceptsRequests(e *Engine) bool {
 	return e.Reachable && (!e.Leaving || r.faults.keepLeaving)
 }
 
-// choose orders the free candidates by the policy and returns the first.
+// choose returns the candidate that the policy ranks first among those with capacity.
 func (r *Router) choose(free []*candidate, q Request, rng *rand.Rand) *candidate {
 	switch r.options.Policy {
 	case PolicyRoundRobin:
-		r.turn++
-		return free[r.turn%uint64(len(free))]
+		r.roundRobinTurn++
+		return free[r.roundRobinTurn%uint64(len(free))]
 	case PolicyLeastLoad:
-		return r.least(free)
+		return r.leastLoaded(free)
 	}
 	if q.Prefix == NoPrefix {
-		return r.lesserOfTwo(free, rng)
+		return r.lessLoadedOfTwo(free, rng)
 	}
 	return r.byPrefix(free, q.Prefix, rng)
 }
 
-// byPrefix takes the first engines of the prefix's order while their load is
-// near the mean, and the lesser of two of the others after that. Without the
-// bound, one popular text would fill a single engine while others stand idle.
+// byPrefix returns the first of the prefix's preferred engines whose load is within
+// the bound, or else the less loaded of two random other engines. Without the bound,
+// one popular prompt would fill a single engine while others are idle.
 func (r *Router) byPrefix(free []*candidate, p Prefix, rng *rand.Rand) *candidate {
 	slices.SortFunc(free, func(a, b *candidate) int {
 		return cmp.Compare(p.score(b.state.hash), p.score(a.state.hash))
 	})
-	bound := max(r.options.FreeLoad, r.options.LoadFactor*(r.mean(free)+1))
+	bound := max(r.options.MinLoadBound, r.options.LoadFactor*(r.meanLoad(free)+1))
 	preferred := min(r.options.Affinity, len(free))
 	for _, e := range free[:preferred] {
 		if r.load(e)+1 <= bound {
@@ -222,12 +224,12 @@
 		}
 	}
 	if rest := free[preferred:]; len(rest) > 0 {
-		return r.lesserOfTwo(rest, rng)
+		return r.lessLoadedOfTwo(rest, rng)
 	}
-	return r.least(free)
+	return r.leastLoaded(free)
 }
 
-func (r *Router) mean(engines []*candidate) float64 {
+func (r *Router) meanLoad(engines []*candidate) float64 {
 	sum := 0.0
 	for _, e := range engines {
 		sum += r.load(e)
@@ -235,10 +237,10 @@
 	return sum / float64(len(engines))
 }
 
-// lesserOfTwo takes the less loaded of two engines drawn at random. With lagging
-// reports it spreads better than the least loaded of all, which every VM would
-// pick at once.
-func (r *Router) lesserOfTwo(engines []*candidate, rng *rand.Rand) *candidate {
+// lessLoadedOfTwo returns the less loaded of two engines drawn at random (power of
+// two choices). With lagging reports this spreads load better than the least loaded
+// engine of all, which every VM would select at the same time.
+func (r *Router) lessLoadedOfTwo(engines []*candidate, rng *rand.Rand) *candidate {
 	if len(engines) == 1 {
 		return engines[0]
 	}
@@ -254,7 +256,7 @@
 	return a
 }
 
-func (r *Router) least(engines []*candidate) *candidate {
+func (r *Router) leastLoaded(engines []*candidate) *candidate {
 	best := engines[0]
 	for _, e := range engines[1:] {
 		if r.load(e) < r.load(best) {
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -23,138 +23,140 @@
 }
 
 var (
-	base    = Item{Model: "m"}
-	adapted = Item{Model: "m", Adapter: "a"}
-	start   = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	baseItem    = Item{Model: "m"}
+	adapterItem = Item{Model: "m", Adapter: "a"}
+	start       = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
 func rng(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, seed)) }
 
-// world is a router beside the simplest account of what it may do.
-type world struct {
+// routerModel runs a Router next to a simple model: the engines' true state and a list
+// of the requests in flight.
+type routerModel struct {
 	*Router
-	now     time.Time
-	fleet   Fleet
-	rng     *rand.Rand
-	running []run
+	now      time.Time
+	fleet    Fleet
+	rng      *rand.Rand
+	inFlight []inFlightRequest
 }
 
-// run is a request in flight.
-type run struct {
+// inFlightRequest is a request in flight.
+type inFlightRequest struct {
 	engine string
 	item   Item
 }
 
-func newWorld(f faults) *world {
-	w := &world{Router: New(Options{EjectAfter: 1, EjectFor: time.Minute}), now: start, rng: rng(1)}
-	w.faults = f
+func newRouterModel(f faults) *routerModel {
+	m := &routerModel{Router: New(Options{EjectAfter: 1, EjectFor: time.Minute}), now: start, rng: rng(1)}
+	m.faults = f
 	for i := range 6 {
-		w.fleet.Engines = append(w.fleet.Engines, Engine{
+		m.fleet.Engines = append(m.fleet.Engines, Engine{
 			Name: fmt.Sprint("e", i), Reachable: true, ReportedAt: start,
-			Ready: map[Item][]string{base: {"v1"}, adapted: {"v1"}},
+			Ready: map[Item][]string{baseItem: {"v1"}, adapterItem: {"v1"}},
 		})
 	}
-	w.publish()
-	return w
+	m.publish()
+	return m
 }
 
-func (w *world) publish() {
-	w.SetFleet(&Fleet{Engines: slices.Clone(w.fleet.Engines)})
+func (m *routerModel) publish() {
+	m.SetFleet(&Fleet{Engines: slices.Clone(m.fleet.Engines)})
 }
 
-const adapterPart = 3
+const adapterShare = 3
 
-// pick checks a choice against the engines' true state.
-func (w *world) pick(t require.TestingT, q Request) {
-	e, err := w.Pick(q, w.now, w.rng)
+// pick checks a selected engine against its true state.
+func (m *routerModel) pick(t require.TestingT, q Request) {
+	e, err := m.Pick(q, m.now, m.rng)
 	if err != nil {
 		return
 	}
-	at := slices.IndexFunc(w.fleet.Engines, func(o Engine) bool { return o.Name == e.Name })
-	truth := w.fleet.Engines[at]
-	require.True(t, truth.Reachable, "unreachable engine chosen")
-	require.False(t, truth.Leaving, "leaving engine chosen")
+	at := slices.IndexFunc(m.fleet.Engines, func(o Engine) bool { return o.Name == e.Name })
+	truth := m.fleet.Engines[at]
+	require.True(t, truth.Reachable, "an unreachable engine was selected")
+	require.False(t, truth.Leaving, "a leaving engine was selected")
 	require.True(t, truth.Serves(q.Item))
 	require.NotContains(t, q.Avoid, e.Name)
-	w.Started(e.Name, q.Item, w.now)
-	w.running = append(w.running, run{e.Name, q.Item})
+	m.Started(e.Name, q.Item, m.now)
+	m.inFlight = append(m.inFlight, inFlightRequest{e.Name, q.Item})
 }
 
-// check compares the router's counts with the list of what runs.
-func (w *world) check(t require.TestingT) {
+// check compares the router's counts with the model's requests in flight.
+func (m *routerModel) check(t require.TestingT) {
 	count := make(map[string]int)
-	ofAdapter := 0
-	for _, r := range w.running {
+	adapterCount := 0
+	for _, r := range m.inFlight {
 		count[r.engine]++
-		if r.item == adapted {
-			ofAdapter++
+		if r.item == adapterItem {
+			adapterCount++
 		}
 	}
 	ejected := 0
-	for _, e := range w.fleet.Engines {
-		require.Equal(t, count[e.Name], w.InFlight(e.Name))
+	for _, e := range m.fleet.Engines {
+		require.Equal(t, count[e.Name], m.InFlight(e.Name))
 		require.LessOrEqual(t, count[e.Name], DefaultMaxInFlight)
-		if w.now.Before(w.tracked(e.Name).ejectedUntil) {
+		if m.now.Before(m.stateOf(e.Name).ejectedUntil) {
 			ejected++
 		}
 	}
-	require.LessOrEqual(t, ofAdapter, adapterPart, "the adapter's part is exceeded")
-	require.LessOrEqual(t, float64(ejected), DefaultMaxEjected*float64(len(w.fleet.Engines)), "too many ejected")
+	require.LessOrEqual(t, adapterCount, adapterShare, "the adapter's requests in flight exceed this VM's share")
+	require.LessOrEqual(t, float64(ejected), DefaultMaxEjected*float64(len(m.fleet.Engines)), "the ejected fraction exceeds DefaultMaxEjected")
 }
 
-func (w *world) actions(o require.TestingT) map[string]func(*rapid.T) {
+func (m *routerModel) actions(o require.TestingT) map[string]func(*rapid.T) {
 	engine := rapid.IntRange(0, 5)
 	return map[string]func(*rapid.T){
-		"": func(*rapid.T) { w.check(o) },
+		"": func(*rapid.T) { m.check(o) },
 		"pick": func(t *rapid.T) {
-			q := Request{Item: base, Version: "v1", Prefix: Prefix(rapid.Uint64Range(0, 5).Draw(t, "prefix"))}
+			q := Request{Item: baseItem, Version: "v1", Prefix: Prefix(rapid.Uint64Range(0, 5).Draw(t, "prefix"))}
 			if rapid.Bool().Draw(t, "adapter") {
-				q.Item, q.Limited, q.MaxInFlight = adapted, true, adapterPart
+				q.Item, q.Limited, q.MaxInFlight = adapterItem, true, adapterShare
 			}
-			q.Avoid = []string{w.fleet.Engines[engine.Draw(t, "avoid")].Name}
-			w.pick(o, q)
+			q.Avoid = []string{m.fleet.Engines[engine.Draw(t, "avoid")].Name}
+			m.pick(o, q)
 		},
 		"finish": func(t *rapid.T) {
-			if len(w.running) == 0 {
+			if len(m.inFlight) == 0 {
 				t.Skip()
 			}
-			i := rapid.IntRange(0, len(w.running)-1).Draw(t, "run")
-			r := w.running[i]
-			w.running = slices.Delete(w.running, i, i+1)
-			w.Finished(r.engine, r.item, rapid.IntRange(0, 3).Draw(t, "health") == 0, w.now)
+			i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "run")
+			r := m.inFlight[i]
+			m.inFlight = slices.Delete(m.inFlight, i, i+1)
+			m.Finished(r.engine, r.item, rapid.IntRange(0, 3).Draw(t, "health") == 0, m.now)
 		},
 		"report": func(t *rapid.T) {
-			e := &w.fleet.Engines[engine.Draw(t, "engine")]
+			e := &m.fleet.Engines[engine.Draw(t, "engine")]
 			e.Running, e.Waiting = rapid.IntRange(0, 70).Draw(t, "running"), rapid.IntRange(0, 3).Draw(t, "waiting")
-			e.ReportedAt, e.Reachable, e.Leaving = w.now, true, false
-			w.publish()
+			e.ReportedAt, e.Reachable, e.Leaving = m.now, true, false
+			m.publish()
 		},
 		"leave": func(t *rapid.T) {
-			w.fleet.Engines[engine.Draw(t, "engine")].Leaving = true
-			w.publish()
+			m.fleet.Engines[engine.Draw(t, "engine")].Leaving = true
+			m.publish()
 		},
 		"lose": func(t *rapid.T) {
-			w.fleet.Engines[engine.Draw(t, "engine")].Reachable = false
-			w.publish()
+			m.fleet.Engines[engine.Draw(t, "engine")].Reachable = false
+			m.publish()
 		},
 		"wait": func(t *rapid.T) {
-			w.now = w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
+			m.now = m.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 		},
 	}
 }
 
-// Reports come late, engines leave, die and fail requests in any order. A user
-// would notice a request that was sent to an engine which cannot serve it, an
-// adapter that slows down for everybody, or a fleet that ejected itself.
-func TestChoicesKeepTheRules(t *testing.T) {
+// Guards the router's invariants when reports come late and engines leave, die and
+// fail requests in any order: no request goes to an engine that cannot serve it, no
+// adapter exceeds this VM's share (it would slow down for every caller), and the fleet
+// does not eject itself.
+func TestRouterKeepsItsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		t.Repeat(newWorld(faults{}).actions(t))
+		t.Repeat(newRouterModel(faults{}).actions(t))
 	})
 }
 
-func TestPlantedFaultsAreFound(t *testing.T) {
+func TestInjectedFaultsAreDetected(t *testing.T) {
 	walk := func(f faults) oracle.Walk {
-		return func(t *rapid.T, o require.TestingT) { t.Repeat(newWorld(f).actions(o)) }
+		return func(t *rapid.T, o require.TestingT) { t.Repeat(newRouterModel(f).actions(o)) }
 	}
 	const seeds = 50
 	require.Equal(t, oracle.NotFound, oracle.FirstSeed(seeds, walk(faults{})))
@@ -164,60 +166,60 @@
 		"ignorePart":  {ignorePart: true},
 	} {
 		first := oracle.FirstSeed(seeds, walk(f))
-		require.NotEqual(t, oracle.NotFound, first, "%s was not found", name)
+		require.NotEqual(t, oracle.NotFound, first, "no seed made the oracle detect the fault %s", name)
 		t.Logf("%s: found with seed %d", name, first)
 	}
 }
 
-// burst picks n engines between two reports and returns the largest number that
-// one engine got.
-func burst(f faults, n int, q Request) int {
-	w := newWorld(f)
-	w.fleet.Engines[2].Running = 0
-	for i := range w.fleet.Engines {
+// maxPerEngine routes n requests between two load reports and returns the largest
+// number of requests that one engine received.
+func maxPerEngine(f faults, n int, q Request) int {
+	m := newRouterModel(f)
+	m.fleet.Engines[2].Running = 0
+	for i := range m.fleet.Engines {
 		if i != 2 {
-			w.fleet.Engines[i].Running = 4
+			m.fleet.Engines[i].Running = 4
 		}
 	}
-	w.publish()
-	most := 0
+	m.publish()
+	largest := 0
 	for range n {
-		e, err := w.Pick(q, w.now, w.rng)
+		e, err := m.Pick(q, m.now, m.rng)
 		if err != nil {
 			continue
 		}
-		w.Started(e.Name, q.Item, w.now)
-		most = max(most, w.InFlight(e.Name))
+		m.Started(e.Name, q.Item, m.now)
+		largest = max(largest, m.InFlight(e.Name))
 	}
-	return most
+	return largest
 }
 
-// A flash crowd arrives between two load reports. An engine that was idle at
-// the last one would get everybody, if the report alone were believed.
+// A burst arrives between two load reports. If the router used the reports alone, the
+// engine that was idle in its last report would receive the whole burst.
 func TestBurstBetweenReportsIsSpread(t *testing.T) {
 	const requests = 96
-	require.LessOrEqual(t, burst(faults{}, requests, Request{Item: base}), 30)
+	require.LessOrEqual(t, maxPerEngine(faults{}, requests, Request{Item: baseItem}), 30)
 	// 20 requests run at five of the six engines before the burst.
 	bound := DefaultLoadFactor * ((requests+20)/6.0 + 1)
-	popular := Request{Item: base, Prefix: 7}
-	require.LessOrEqual(t, float64(burst(faults{}, requests, popular)), bound)
-	require.Greater(t, float64(burst(faults{trustReports: true}, requests, popular)), bound)
+	popular := Request{Item: baseItem, Prefix: 7}
+	require.LessOrEqual(t, float64(maxPerEngine(faults{}, requests, popular)), bound)
+	require.Greater(t, float64(maxPerEngine(faults{trustReports: true}, requests, popular)), bound)
 }
 
-// Only the prefixes of the engine that left may move: all the others would lose
-// their caches.
+// When an engine leaves, only its own prefixes may move to other engines: any other
+// prefix that moved would lose its cache.
 func TestLeavingEngineMovesOnlyItsOwnPrefixes(t *testing.T) {
-	w := newWorld(faults{})
+	m := newRouterModel(faults{})
 	before := make(map[Prefix]string)
 	for p := Prefix(1); p <= 200; p++ {
-		e, err := w.Pick(Request{Item: base, Prefix: p}, w.now, w.rng)
+		e, err := m.Pick(Request{Item: baseItem, Prefix: p}, m.now, m.rng)
 		require.NoError(t, err)
 		before[p] = e.Name
 	}
-	w.fleet.Engines[0].Leaving = true
-	w.publish()
+	m.fleet.Engines[0].Leaving = true
+	m.publish()
 	for p, was := range before {
-		e, err := w.Pick(Request{Item: base, Prefix: p}, w.now, w.rng)
+		e, err := m.Pick(Request{Item: baseItem, Prefix: p}, m.now, m.rng)
 		require.NoError(t, err)
 		if was != "e0" {
 			require.Equal(t, was, e.Name)
@@ -225,16 +227,16 @@
 	}
 }
 
-func TestVersionInForceGoesFirst(t *testing.T) {
-	w := newWorld(faults{})
-	w.fleet.Engines[3].Ready = map[Item][]string{base: {"v1", "v2"}}
-	w.publish()
+func TestVersionInForceIsPreferred(t *testing.T) {
+	m := newRouterModel(faults{})
+	m.fleet.Engines[3].Ready = map[Item][]string{baseItem: {"v1", "v2"}}
+	m.publish()
 	for range 20 {
-		e, err := w.Pick(Request{Item: base, Version: "v2"}, w.now, w.rng)
+		e, err := m.Pick(Request{Item: baseItem, Version: "v2"}, m.now, m.rng)
 		require.NoError(t, err)
 		require.Equal(t, "e3", e.Name)
 	}
-	_, err := w.Pick(Request{Item: Item{Model: "none"}}, w.now, w.rng)
+	_, err := m.Pick(Request{Item: Item{Model: "none"}}, m.now, m.rng)
 	require.ErrorIs(t, err, ErrNoReplica)
 }
 
