--- a/internal/admit/doc.go
+++ b/internal/admit/doc.go
@@ -1,5 +1,5 @@
-// Package admit decides in which order queued requests go on to a pool of
-// upstreams: teams by weighted shares of the tokens served, the earliest deadline
-// first inside a team. It refuses early what cannot be done in time, and it is
+// Package admit orders the queued requests for a pool of upstreams: weighted fair
+// queuing between teams by tokens served, and earliest deadline first within a team.
+// It refuses requests early that cannot meet their deadlines, and its queue is
 // bounded. It does no I/O.
 package admit
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -6,53 +6,58 @@
 	"time"
 )
 
-// Options configures a Queue. The zero value takes every default.
+// Options configures a Queue. Zero fields take their defaults.
 type Options struct {
-	// MaxRequests bounds the queued requests. The default is 1024.
+	// MaxRequests bounds the number of queued requests. The default is 1024.
 	MaxRequests int
-	// MaxBytes bounds the memory that they hold. The default is 64 MiB.
+	// MaxBytes bounds the memory that queued requests hold, in bytes. The default
+	// is 64 MiB.
 	MaxBytes int64
-	// MaxLead bounds how many tokens, for a weight of 1, a team can be behind
-	// the others in this queue because other VMs have served it. The default is
-	// 20000.
+	// MaxLead bounds how far a team's virtual time can be ahead of the queue's, in
+	// tokens for a weight of 1; the bound is divided by the team's weight. A team
+	// gets ahead, and then has to wait for the others in this queue, because other
+	// VMs have served it. The default is 20000.
 	MaxLead float64
-	// FirstComeFirstServed replaces the order by that of arrival. It is what the
-	// order is measured against.
+	// FirstComeFirstServed orders requests by arrival instead. It is the baseline
+	// for measurements of the default order.
 	FirstComeFirstServed bool
 }
 
-// The defaults of Options.
+// Default values of Options.
 const (
 	DefaultMaxRequests = 1024
 	DefaultMaxBytes    = 64 << 20
 	DefaultMaxLead     = 20000
 )
 
-// Queue orders the requests for one pool of upstreams. It belongs to one
-// goroutine.
+// Queue orders the requests for one pool of upstreams by weighted fair queuing: each
+// team has a virtual time, which advances by the tokens served divided by the team's
+// weight, and the team with the least virtual time is served next. It is not safe for
+// concurrent use.
 type Queue struct {
 	options Options
 	teams   map[string]*team
-	// order holds the teams by name, so that equal histories give equal choices.
-	order  []*team
-	clock  float64
-	count  int
-	bytes  int64
-	tokens int64
-	seq    uint64
-	drain  drain
-	faults faults
+	// sortedTeams holds the teams in order of their names, so that equal inputs give
+	// equal dispatch orders.
+	sortedTeams []*team
+	virtualTime float64
+	count       int
+	bytes       int64
+	tokens      int64
+	lastSeq     uint64
+	drain       drainEstimator
+	faults      faults
 }
 
-// faults are planted by tests, to show that their oracles find them.
+// faults are injected by tests, to show that their oracles detect them.
 type faults struct {
-	// keepCredit lets a team save up its share while it has nothing queued.
+	// keepCredit lets a team accumulate unused share while it has nothing queued.
 	keepCredit bool
-	// ignoreDeadlines serves a team in order of arrival.
+	// ignoreDeadlines serves a team's requests in order of arrival.
 	ignoreDeadlines bool
-	// runLate forgets to give up on what cannot be done in time any more.
+	// runLate does not expire requests that can no longer meet their deadlines.
 	runLate bool
-	// refuseArrivals refuses whoever finds the queue full.
+	// refuseArrivals refuses every request that arrives at a full queue.
 	refuseArrivals bool
 }
 
@@ -70,7 +75,7 @@
 	return &Queue{options: o, teams: make(map[string]*team)}
 }
 
-// SetWeight sets a team's share. A weight below 1 counts as 1.
+// SetWeight sets a team's weight. A weight below 1 counts as 1.
 func (q *Queue) SetWeight(name string, weight int64) {
 	q.team(name).weight = float64(max(1, weight))
 }
@@ -78,7 +83,7 @@
 // Len returns the number of queued requests.
 func (q *Queue) Len() int { return q.count }
 
-// Bytes returns the memory that the queued requests hold.
+// Bytes returns the memory that the queued requests hold, in bytes.
 func (q *Queue) Bytes() int64 { return q.bytes }
 
 // Queued returns the number of a team's queued requests.
@@ -97,52 +102,54 @@
 	}
 	t = &team{name: name, weight: 1, fifo: q.fifo(), classes: make(map[string]*class)}
 	q.teams[name] = t
-	at, _ := slices.BinarySearchFunc(q.order, name, func(t *team, n string) int {
+	at, _ := slices.BinarySearchFunc(q.sortedTeams, name, func(t *team, n string) int {
 		return strings.Compare(t.name, n)
 	})
-	q.order = slices.Insert(q.order, at, t)
+	q.sortedTeams = slices.Insert(q.sortedTeams, at, t)
 	return t
 }
 
-// Offer queues a request. It returns the requests that had to make room for it,
-// and a *Refusal if the request itself is given up on. Each of them is final.
+// Offer queues a request. It returns the queued requests that were evicted to make
+// room for it, and a *Refusal if the request itself is not queued. Both outcomes are
+// final.
 func (q *Queue) Offer(r Request, now time.Time) ([]*Refusal, error) {
 	t := q.team(r.Team)
-	wait := q.wait(t, &r)
-	if r.late(now) || r.late(now.Add(wait)) {
-		return nil, q.refuse(r, ErrDeadline, now)
+	wait := q.estimateWait(t, &r)
+	if r.isLate(now) || r.isLate(now.Add(wait)) {
+		return nil, q.newRefusal(r, ErrDeadline, now)
 	}
 	if r.Bytes > q.options.MaxBytes {
-		return nil, q.refuse(r, ErrFull, now)
+		return nil, q.newRefusal(r, ErrFull, now)
 	}
 	var evicted []*Refusal
-	for q.full(r) {
-		victim := q.largest(t)
+	for q.wouldOverflow(r) {
+		victim := q.largestByWeight(t)
 		if victim == nil || victim == t {
-			return evicted, q.refuse(r, ErrFull, now)
+			return evicted, q.newRefusal(r, ErrFull, now)
 		}
 		last := victim.last()
-		q.drop(victim, last)
-		evicted = append(evicted, q.refuse(last.Request, ErrFull, now))
+		q.dequeue(victim, last)
+		evicted = append(evicted, q.newRefusal(last.Request, ErrFull, now))
 	}
-	q.push(t, r)
+	q.enqueue(t, r)
 	return evicted, nil
 }
 
-func (q *Queue) full(r Request) bool {
+func (q *Queue) wouldOverflow(r Request) bool {
 	return q.count+1 > q.options.MaxRequests || q.bytes+r.Bytes > q.options.MaxBytes
 }
 
-// largest returns the team that holds the most for its weight, if the arrival's
-// team counts one more, or nil if nothing is queued. A queue that is full of one
-// team's requests would otherwise refuse everybody else's.
-func (q *Queue) largest(arrival *team) *team {
+// largestByWeight returns the team with the most queued requests relative to its
+// weight, counting the arriving request to its team. Ties go to the arrival's team.
+// Evicting from this team prevents a queue that is full of one team's requests from
+// refusing all other teams.
+func (q *Queue) largestByWeight(arrival *team) *team {
 	if q.faults.refuseArrivals {
 		return arrival
 	}
 	var most *team
 	share := 0.0
-	for _, t := range q.order {
+	for _, t := range q.sortedTeams {
 		held := t.count
 		if t == arrival {
 			held++
@@ -156,42 +163,42 @@
 	return most
 }
 
-// push adds a request, and lets its team join at the present virtual time.
-func (q *Queue) push(t *team, r Request) {
+// enqueue adds a request. If its team had none queued, the team is activated first.
+func (q *Queue) enqueue(t *team, r Request) {
 	if t.count == 0 {
-		q.join(t)
+		q.activate(t)
 	}
-	q.seq++
-	t.add(&entry{Request: r, seq: q.seq})
+	q.lastSeq++
+	t.add(&entry{Request: r, seq: q.lastSeq})
 	q.count++
 	q.bytes += r.Bytes
 	q.tokens += r.Tokens
 }
 
-// join places a team that had nothing queued. A team that was idle must not come
-// back with its whole unused share saved up: it would hold up all the others for
-// as long as it was away.
-func (q *Queue) join(t *team) {
+// activate sets the virtual time of a team that had nothing queued. An idle team must
+// not return with its unused share accumulated: it would block all other teams for as
+// long as it was idle.
+func (q *Queue) activate(t *team) {
 	if !q.faults.keepCredit {
-		t.virtual = max(t.virtual, q.clock)
+		t.virtualTime = max(t.virtualTime, q.virtualTime)
 	}
-	t.virtual = min(t.virtual, q.clock+q.options.MaxLead/t.weight)
+	t.virtualTime = min(t.virtualTime, q.virtualTime+q.options.MaxLead/t.weight)
 }
 
 func (q *Queue) fifo() bool {
 	return q.options.FirstComeFirstServed || q.faults.ignoreDeadlines
 }
 
-// drop takes a request out of the queue.
-func (q *Queue) drop(t *team, e *entry) {
+// dequeue removes a request from the queue.
+func (q *Queue) dequeue(t *team, e *entry) {
 	t.remove(e)
 	q.count--
 	q.bytes -= e.Bytes
 	q.tokens -= e.Tokens
 }
 
-// Remove takes a request out, because its caller has gone or its key was
-// withdrawn. It reports whether the request was queued.
+// Remove removes a request from the queue, because its caller has disconnected or its
+// key was withdrawn. It reports whether the request was queued.
 func (q *Queue) Remove(name string, id uint64) bool {
 	t := q.teams[name]
 	if t == nil {
@@ -201,47 +208,47 @@
 	if e == nil {
 		return false
 	}
-	q.drop(t, e)
+	q.dequeue(t, e)
 	return true
 }
 
-// Expire removes and returns the requests that cannot be done in time any more.
+// Expire removes and returns the requests that can no longer meet their deadlines.
 func (q *Queue) Expire(now time.Time) []*Refusal {
 	if q.faults.runLate {
 		return nil
 	}
-	var out []*Refusal
-	for _, t := range q.order {
-		for _, e := range t.late(now) {
-			q.drop(t, e)
-			out = append(out, q.refuse(e.Request, ErrDeadline, now))
+	var expired []*Refusal
+	for _, t := range q.sortedTeams {
+		for _, e := range t.lateEntries(now) {
+			q.dequeue(t, e)
+			expired = append(expired, q.newRefusal(e.Request, ErrDeadline, now))
 		}
 	}
-	return out
+	return expired
 }
 
-// Next takes the request that is to be dispatched now out of the queue. Only
-// classes for which canRun is true are looked at. The caller has called Expire
-// with the same time before, so that nothing is dispatched that cannot be done in
-// time.
+// Next removes and returns the request to dispatch now. Only classes for which canRun
+// returns true are considered. The caller must call Expire with the same time before,
+// so that no request is dispatched that cannot meet its deadline.
 func (q *Queue) Next(now time.Time, canRun func(class string) bool) (Request, bool) {
-	t, e := q.first(canRun)
+	t, e := q.selectNext(canRun)
 	if e == nil {
 		return Request{}, false
 	}
-	q.clock = max(q.clock, t.virtual)
-	q.drop(t, e)
-	t.virtual += float64(e.Tokens) / t.weight
-	q.drain.dispatched(e.Tokens, q.count > 0, now)
+	q.virtualTime = max(q.virtualTime, t.virtualTime)
+	q.dequeue(t, e)
+	t.virtualTime += float64(e.Tokens) / t.weight
+	q.drain.recordDispatch(e.Tokens, q.count > 0, now)
 	return e.Request, true
 }
 
-// first finds the team with the least virtual time that has something to run.
-func (q *Queue) first(canRun func(class string) bool) (*team, *entry) {
+// selectNext returns the team with the least virtual time that has a request to run,
+// and that request.
+func (q *Queue) selectNext(canRun func(class string) bool) (*team, *entry) {
 	var best *team
 	var head *entry
-	for _, t := range q.order {
-		if t.count == 0 || best != nil && !q.before(t, best) {
+	for _, t := range q.sortedTeams {
+		if t.count == 0 || best != nil && !q.precedes(t, best) {
 			continue
 		}
 		e := t.head(canRun)
@@ -256,39 +263,40 @@
 	return best, head
 }
 
-func (q *Queue) before(t, best *team) bool {
-	return q.options.FirstComeFirstServed || t.virtual < best.virtual
+func (q *Queue) precedes(t, best *team) bool {
+	return q.options.FirstComeFirstServed || t.virtualTime < best.virtualTime
 }
 
-// Served corrects a team's account once a request's true cost is known: delta is
-// the true cost less the expected one.
+// Served corrects a team's virtual time once the actual cost of a dispatched request
+// is known. delta is the actual cost minus the expected cost, in tokens.
 func (q *Queue) Served(name string, delta int64) {
 	t := q.team(name)
-	t.virtual = max(0, t.virtual+float64(delta)/t.weight)
+	t.virtualTime = max(0, t.virtualTime+float64(delta)/t.weight)
 }
 
-// ServedElsewhere adds the tokens that other VMs have served since the last
-// call, so that a team's share holds over all of them.
+// ServedElsewhere adds the tokens that other VMs have served per team since the last
+// call, so that the weighted shares hold over all VMs.
 func (q *Queue) ServedElsewhere(tokens map[string]int64) {
 	for name, n := range tokens {
 		t := q.team(name)
-		t.virtual += float64(n) / t.weight
+		t.virtualTime += float64(n) / t.weight
 	}
-	q.advance()
-	for _, t := range q.order {
+	q.advanceVirtualTime()
+	for _, t := range q.sortedTeams {
 		if t.count > 0 {
-			t.virtual = min(t.virtual, q.clock+q.options.MaxLead/t.weight)
+			t.virtualTime = min(t.virtualTime, q.virtualTime+q.options.MaxLead/t.weight)
 		}
 	}
 }
 
-// advance moves the virtual time up to the least of the teams that wait.
-func (q *Queue) advance() {
+// advanceVirtualTime advances the queue's virtual time to the least virtual time of
+// the teams that have requests queued.
+func (q *Queue) advanceVirtualTime() {
 	least := -1.0
-	for _, t := range q.order {
-		if t.count > 0 && (least < 0 || t.virtual < least) {
-			least = t.virtual
+	for _, t := range q.sortedTeams {
+		if t.count > 0 && (least < 0 || t.virtualTime < least) {
+			least = t.virtualTime
 		}
 	}
-	q.clock = max(q.clock, least)
+	q.virtualTime = max(q.virtualTime, least)
 }
--- a/internal/admit/queue_test.go
+++ b/internal/admit/queue_test.go
@@ -36,32 +36,33 @@
 
 func always(string) bool { return true }
 
-// account is the oracle: a plain list of what is queued, and what each team got
-// since each other team began to wait beside it.
-type account struct {
+// queueModel runs a Queue next to the oracle: a plain list of the queued requests, and
+// for each pair of teams the tokens served to the first, divided by its weight, since
+// both have had requests queued.
+type queueModel struct {
 	*Queue
-	o      require.TestingT
+	oracle require.TestingT
 	now    time.Time
 	nextID uint64
 	queued map[uint64]Request
 	served map[[2]string]float64
 }
 
-func newAccount(o require.TestingT, f faults) *account {
-	a := &account{
-		Queue: New(Options{MaxRequests: maxQueued}), o: o, now: start,
+func newQueueModel(o require.TestingT, f faults) *queueModel {
+	m := &queueModel{
+		Queue: New(Options{MaxRequests: maxQueued}), oracle: o, now: start,
 		queued: make(map[uint64]Request), served: make(map[[2]string]float64),
 	}
-	a.faults = f
+	m.faults = f
 	for name, w := range weights {
-		a.SetWeight(name, int64(w))
+		m.SetWeight(name, int64(w))
 	}
-	return a
+	return m
 }
 
-func (a *account) held(team string) int {
+func (m *queueModel) queuedOf(team string) int {
 	n := 0
-	for _, r := range a.queued {
+	for _, r := range m.queued {
 		if r.Team == team {
 			n++
 		}
@@ -69,144 +70,146 @@
 	return n
 }
 
-// leave takes a request out of the list, and ends the comparisons of a team that
-// waits no more.
-func (a *account) leave(r Request) {
-	_, was := a.queued[r.ID]
-	require.True(a.o, was, "a request had two fates")
-	delete(a.queued, r.ID)
-	if a.held(r.Team) > 0 {
+// removeFromModel removes a request from the list, and resets the comparisons of its
+// team if the team has nothing queued any more.
+func (m *queueModel) removeFromModel(r Request) {
+	_, queued := m.queued[r.ID]
+	require.True(m.oracle, queued, "a request was dispatched, refused or removed twice")
+	delete(m.queued, r.ID)
+	if m.queuedOf(r.Team) > 0 {
 		return
 	}
 	for name := range weights {
-		delete(a.served, [2]string{r.Team, name})
-		delete(a.served, [2]string{name, r.Team})
+		delete(m.served, [2]string{r.Team, name})
+		delete(m.served, [2]string{name, r.Team})
 	}
 }
 
-func (a *account) offer(r Request) {
-	a.nextID++
-	r.ID = a.nextID
+func (m *queueModel) offer(r Request) {
+	m.nextID++
+	r.ID = m.nextID
 	before := make(map[string]float64)
 	for name, w := range weights {
-		before[name] = float64(a.held(name)) / w
+		before[name] = float64(m.queuedOf(name)) / w
 	}
-	evicted, err := a.Offer(r, a.now)
+	evicted, err := m.Offer(r, m.now)
 	for _, e := range evicted {
-		require.ErrorIs(a.o, e, ErrFull)
-		require.GreaterOrEqual(a.o, before[e.Request.Team], (float64(a.held(r.Team))+1)/weights[r.Team], "a smaller team made room")
-		a.leave(e.Request)
+		require.ErrorIs(m.oracle, e, ErrFull)
+		require.GreaterOrEqual(m.oracle, before[e.Request.Team], (float64(m.queuedOf(r.Team))+1)/weights[r.Team], "a request was evicted from a team with fewer requests for its weight than the arrival's team")
+		m.removeFromModel(e.Request)
 	}
 	if err == nil {
-		a.queued[r.ID] = r
+		m.queued[r.ID] = r
 		return
 	}
 	if errors.Is(err, ErrFull) {
 		own := before[r.Team] + 1/weights[r.Team]
 		for name := range weights {
-			require.GreaterOrEqual(a.o, own, before[name], "the larger team kept its place")
+			require.GreaterOrEqual(m.oracle, own, before[name], "a request was refused although another team has more requests for its weight")
 		}
 	}
 }
 
-func (a *account) dispatch(canRun func(string) bool) {
-	for _, refused := range a.Expire(a.now) {
-		a.leave(refused.Request)
+func (m *queueModel) dispatch(canRun func(string) bool) {
+	for _, refused := range m.Expire(m.now) {
+		m.removeFromModel(refused.Request)
 	}
-	r, ok := a.Next(a.now, canRun)
-	for _, other := range a.queued {
+	r, ok := m.Next(m.now, canRun)
+	for _, other := range m.queued {
 		runnable := canRun(other.Class)
-		require.False(a.o, !ok && runnable, "a request waited while its upstreams were free")
+		require.False(m.oracle, !ok && runnable, "no request was dispatched although a queued one can run")
 		earlier := other.Team == r.Team && other.Deadline.Before(r.Deadline)
-		require.False(a.o, ok && runnable && earlier, "a later deadline went first")
+		require.False(m.oracle, ok && runnable && earlier, "a request was dispatched before one of its team with an earlier deadline")
 	}
 	if !ok {
 		return
 	}
-	require.False(a.o, a.now.Add(r.Run).After(r.Deadline), "dispatched too late")
-	a.serve(r)
-	a.leave(r)
+	require.False(m.oracle, m.now.Add(r.Run).After(r.Deadline), "a request was dispatched that cannot meet its deadline")
+	m.recordService(r)
+	m.removeFromModel(r)
 }
 
-// serve adds to what a team got beside each team that waits too, and checks that
-// their shares are no further apart than one request of each.
-func (a *account) serve(r Request) {
+// recordService adds a dispatched request to its team's service relative to each other
+// team with requests queued, and checks that the two weighted shares differ by no more
+// than one request of each team.
+func (m *queueModel) recordService(r Request) {
 	for name, w := range weights {
-		if name == r.Team || a.held(name) == 0 {
+		if name == r.Team || m.queuedOf(name) == 0 {
 			continue
 		}
-		a.served[[2]string{r.Team, name}] += float64(r.Tokens) / weights[r.Team]
-		apart := math.Abs(a.served[[2]string{r.Team, name}] - a.served[[2]string{name, r.Team}])
+		m.served[[2]string{r.Team, name}] += float64(r.Tokens) / weights[r.Team]
+		difference := math.Abs(m.served[[2]string{r.Team, name}] - m.served[[2]string{name, r.Team}])
 		bound := maxTokens/w + maxTokens/weights[r.Team]
-		require.LessOrEqual(a.o, apart, bound, "shares are apart")
+		require.LessOrEqual(m.oracle, difference, bound, "the weighted shares of two teams differ by more than one request of each")
 	}
 }
 
-func (a *account) check() {
-	require.Len(a.o, a.queued, a.Len())
-	require.LessOrEqual(a.o, a.Len(), maxQueued)
+func (m *queueModel) check() {
+	require.Len(m.oracle, m.queued, m.Len())
+	require.LessOrEqual(m.oracle, m.Len(), maxQueued)
 	var bytes int64
-	for _, r := range a.queued {
+	for _, r := range m.queued {
 		bytes += r.Bytes
 	}
-	require.Equal(a.o, bytes, a.Bytes())
+	require.Equal(m.oracle, bytes, m.Bytes())
 }
 
-func (a *account) actions() map[string]func(*rapid.T) {
+func (m *queueModel) actions() map[string]func(*rapid.T) {
 	team := rapid.SampledFrom([]string{"a", "b", "c"})
 	return map[string]func(*rapid.T){
-		"": func(*rapid.T) { a.check() },
+		"": func(*rapid.T) { m.check() },
 		"offer": func(t *rapid.T) {
 			for range rapid.IntRange(1, 8).Draw(t, "n") {
 				ms := rapid.IntRange(1, 5000).Draw(t, "deadline")
-				a.offer(Request{
+				m.offer(Request{
 					Team: team.Draw(t, "team"), Class: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "class"),
 					Tokens: rapid.Int64Range(1, maxTokens).Draw(t, "tokens"), Bytes: 10,
-					Deadline: a.now.Add(time.Duration(ms) * time.Millisecond), Run: 10 * time.Millisecond,
+					Deadline: m.now.Add(time.Duration(ms) * time.Millisecond), Run: 10 * time.Millisecond,
 				})
 			}
 		},
 		"dispatch": func(t *rapid.T) {
 			for range rapid.IntRange(1, 12).Draw(t, "n") {
-				a.dispatch(always)
+				m.dispatch(always)
 			}
 		},
 		"remove": func(t *rapid.T) {
-			id := rapid.Uint64Range(0, a.nextID).Draw(t, "id")
-			r, queued := a.queued[id]
-			require.Equal(a.o, queued, a.Remove(team.Draw(t, "team"), id) || queued && a.Remove(r.Team, id))
+			id := rapid.Uint64Range(0, m.nextID).Draw(t, "id")
+			r, queued := m.queued[id]
+			require.Equal(m.oracle, queued, m.Remove(team.Draw(t, "team"), id) || queued && m.Remove(r.Team, id))
 			if queued {
-				a.leave(r)
+				m.removeFromModel(r)
 			}
 		},
 		"wait": func(t *rapid.T) {
-			a.now = a.now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "ms")) * time.Millisecond)
+			m.now = m.now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "ms")) * time.Millisecond)
 		},
 	}
 }
 
-// Teams arrive in bursts, callers leave, deadlines pass. A user would notice a
-// team that waits while another is served beyond its share, an answer that comes
-// too late to be of use, or a request that is never told its fate.
-func TestOrderKeepsTheRules(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { t.Repeat(newAccount(t, faults{}).actions()) })
+// Guards the queue's invariants when requests arrive in bursts, callers disconnect and
+// deadlines pass: no team waits while another is served beyond its share, no request is
+// dispatched too late, and every request gets exactly one outcome.
+func TestQueueKeepsItsInvariants(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) { t.Repeat(newQueueModel(t, faults{}).actions()) })
 }
 
-// Some upstreams are busy: what needs them waits, everything else goes on.
-func TestBusyClassHoldsUpNobodyElse(t *testing.T) {
-	a := newAccount(t, faults{})
+// While the upstreams of one class are busy, its requests wait and those of other
+// classes are dispatched.
+func TestBusyClassDoesNotBlockOtherClasses(t *testing.T) {
+	m := newQueueModel(t, faults{})
 	far := start.Add(time.Minute)
-	a.offer(Request{Team: "a", Class: "x", Tokens: 1, Deadline: far})
-	a.offer(Request{Team: "a", Class: "y", Tokens: 1, Deadline: far.Add(time.Second)})
-	a.dispatch(func(class string) bool { return class == "y" })
-	require.Len(t, a.queued, 1)
-	a.dispatch(always)
-	require.Empty(t, a.queued)
+	m.offer(Request{Team: "a", Class: "x", Tokens: 1, Deadline: far})
+	m.offer(Request{Team: "a", Class: "y", Tokens: 1, Deadline: far.Add(time.Second)})
+	m.dispatch(func(class string) bool { return class == "y" })
+	require.Len(t, m.queued, 1)
+	m.dispatch(always)
+	require.Empty(t, m.queued)
 }
 
-func TestPlantedFaultsAreFound(t *testing.T) {
+func TestInjectedFaultsAreDetected(t *testing.T) {
 	walk := func(f faults) oracle.Walk {
-		return func(t *rapid.T, o require.TestingT) { t.Repeat(newAccount(o, f).actions()) }
+		return func(t *rapid.T, o require.TestingT) { t.Repeat(newQueueModel(o, f).actions()) }
 	}
 	const seeds = 60
 	require.Equal(t, oracle.NotFound, oracle.FirstSeed(seeds, walk(faults{})))
@@ -217,18 +220,18 @@
 		"refuseArrivals":  {refuseArrivals: true},
 	} {
 		first := oracle.FirstSeed(seeds, walk(f))
-		require.NotEqual(t, oracle.NotFound, first, "%s was not found", name)
+		require.NotEqual(t, oracle.NotFound, first, "no seed made the oracle detect the fault %s", name)
 		t.Logf("%s: found with seed %d", name, first)
 	}
 }
 
-// A team is served by other VMs too. At this one it has to let the others go
-// first, but not for ever.
+// Other VMs have served a team as well. In this queue the other teams then go first,
+// but MaxLead bounds for how long.
 func TestSharesHoldOverAllVMs(t *testing.T) {
 	q := New(Options{MaxLead: 100})
 	offer := func(team string, n int) {
 		for range n {
-			r := Request{ID: q.seq, Team: team, Class: "x", Tokens: 10, Deadline: start.Add(time.Hour)}
+			r := Request{ID: q.lastSeq, Team: team, Class: "x", Tokens: 10, Deadline: start.Add(time.Hour)}
 			_, err := q.Offer(r, start)
 			require.NoError(t, err)
 		}
@@ -246,9 +249,9 @@
 	require.Contains(t, order[10:], "a")
 }
 
-// The queue is long and the deadline short. Waiting for a refusal until the
-// deadline would leave the caller no time to go elsewhere.
-func TestHopelessRequestsAreRefusedAtOnce(t *testing.T) {
+// The queue is long and the deadline short. A refusal that came only at the deadline
+// would leave the caller no time to send the request elsewhere.
+func TestRequestsThatCannotMeetDeadlineAreRefusedAtOnce(t *testing.T) {
 	q := New(Options{})
 	now := start
 	for i := range 400 {
@@ -263,7 +266,7 @@
 	}
 	late := Request{ID: 1000, Team: "a", Class: "x", Tokens: 100, Deadline: now.Add(2 * time.Second)}
 	_, err := q.Offer(late, now)
-	require.NoError(t, err, "an early deadline goes before the others of its team")
+	require.NoError(t, err, "a request with an early deadline must be served before the others of its team")
 	late.ID, late.Deadline = 1001, now.Add(time.Hour)
 	_, err = q.Offer(late, now)
 	require.NoError(t, err)
--- a/internal/admit/request.go
+++ b/internal/admit/request.go
@@ -9,9 +9,10 @@
 
 var (
 	// ErrDeadline means that a request cannot be finished by its deadline.
-	ErrDeadline = errors.New("admit: deadline cannot be met")
-	// ErrFull means that the queue is full and that the request's team holds the
-	// largest part of it for its weight.
+	ErrDeadline = errors.New("admit: request deadline cannot be met")
+	// ErrFull means that the queue is full and that the request's team has the most
+	// queued requests relative to its weight, or that the request alone is larger
+	// than Options.MaxBytes.
 	ErrFull = errors.New("admit: queue full")
 )
 
@@ -19,37 +20,37 @@
 type Request struct {
 	// ID is unique in the queue.
 	ID uint64
-	// Team is whose it is.
+	// Team is the team that the request belongs to.
 	Team string
-	// Class groups the requests that need the same upstreams, such as an item's
+	// Class identifies the requests that need the same upstreams, such as an item's
 	// name.
 	Class string
-	// Tokens is what it is expected to cost.
+	// Tokens is the expected cost.
 	Tokens int64
-	// Bytes is the memory that it holds while it waits.
+	// Bytes is the memory in bytes that the request holds while it is queued.
 	Bytes int64
-	// Deadline is when its answer has to be whole.
+	// Deadline is when the response must be complete.
 	Deadline time.Time
-	// Run is how long it will take at least once it has been dispatched.
+	// Run is the minimum time from dispatch to the complete response.
 	Run time.Duration
 }
 
-// late reports whether a request that starts now would miss its deadline.
-func (r *Request) late(now time.Time) bool {
+// isLate reports whether a request that starts now would miss its deadline.
+func (r *Request) isLate(now time.Time) bool {
 	return now.Add(r.Run).After(r.Deadline)
 }
 
-// Refusal is a request that was given up on. It was not run.
+// Refusal is a refused request. It was not dispatched.
 type Refusal struct {
-	// Request is the one refused.
+	// Request is the refused request.
 	Request Request
 	// Cause is ErrDeadline or ErrFull.
 	Cause error
-	// RetryAfter is when another try has a chance.
+	// RetryAfter is the estimated time after which a retry could succeed.
 	RetryAfter time.Duration
 }
 
-// Error describes the cause.
+// Error returns the cause and the time to wait before a retry.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("%v, retry after %v", r.Cause, r.RetryAfter)
 }
--- a/internal/admit/team.go
+++ b/internal/admit/team.go
@@ -7,33 +7,34 @@
 	"time"
 )
 
-// entry is a request in a heap.
+// entry is a request in the heap of its class.
 type entry struct {
 	Request
 	seq   uint64
 	index int
 }
 
-// team holds one team's requests.
+// team holds one team's queued requests and its virtual time.
 type team struct {
-	name    string
-	weight  float64
-	virtual float64
-	count   int
-	fifo    bool
-	classes map[string]*class
+	name        string
+	weight      float64
+	virtualTime float64
+	count       int
+	fifo        bool
+	classes     map[string]*class
 }
 
-// class is a heap of the requests that need the same upstreams.
+// class is a heap of a team's requests that need the same upstreams.
 type class struct {
 	entries []*entry
 	fifo    bool
 }
 
-// Len, Less, Swap, Push and Pop are those of container/heap.
+// Len is part of heap.Interface.
 func (c *class) Len() int { return len(c.entries) }
 
-// Less puts the earliest deadline first, and the earlier arrival among equals.
+// Less orders entries by deadline, and by arrival among equal deadlines or if the class
+// is first come, first served.
 func (c *class) Less(i, j int) bool {
 	return compareEntries(c.entries[i], c.entries[j], c.fifo) < 0
 }
@@ -113,24 +114,24 @@
 	return last
 }
 
-// late returns the entries that cannot be done in time any more, in the order in
-// which they came.
-func (t *team) late(now time.Time) []*entry {
-	var out []*entry
+// lateEntries returns the entries that can no longer meet their deadlines, in order of
+// arrival.
+func (t *team) lateEntries(now time.Time) []*entry {
+	var late []*entry
 	for _, c := range t.classes {
 		for _, e := range c.entries {
-			if e.Request.late(now) {
-				out = append(out, e)
+			if e.Request.isLate(now) {
+				late = append(late, e)
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b *entry) int { return cmp.Compare(a.seq, b.seq) })
-	return out
+	slices.SortFunc(late, func(a, b *entry) int { return cmp.Compare(a.seq, b.seq) })
+	return late
 }
 
-// head returns the first entry of the classes that can run. The classes are
-// asked about in the order of their entries, so that a choice which draws random
-// numbers on the way can be repeated.
+// head returns the first entry among the classes that can run. canRun is called for the
+// classes in the order of their first entries, so that a canRun that draws random
+// numbers gives reproducible results.
 func (t *team) head(canRun func(class string) bool) *entry {
 	heads := make([]*entry, 0, len(t.classes))
 	for _, c := range t.classes {
