--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,4 +1,4 @@
-// Package fleet runs a VM's heartbeats: it carries the reports of the pure
-// membership package over gRPC, publishes immutable views of the fleet and
-// pulls a newer configuration from the peer that has it.
+// Package fleet runs a VM's heartbeats: it exchanges the reports of the membership
+// state machine over gRPC, publishes immutable views of the fleet and fetches newer
+// configurations from peers that have them.
 package fleet
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -14,19 +14,19 @@
 	"github.com/chestnutarch/chestnutarch/internal/peer/peerpb"
 )
 
-// ErrStopped means that the fleet no longer runs and takes in no reports.
+// ErrStopped means that Run has returned and no reports are processed any more.
 var ErrStopped = errors.New("fleet: stopped")
 
-// The default settings.
+// Default values of Options.
 const (
 	DefaultPeriod  = time.Second
 	DefaultTimeout = 800 * time.Millisecond
-	// inboxSize bounds the reports that wait for the control goroutine. Beyond
-	// it callers wait, and their deadlines bound that.
+	// inboxSize bounds the reports that wait for the control goroutine. When the
+	// inbox is full, senders block until their deadlines.
 	inboxSize = 64
 )
 
-// Local is what the local VM reports about itself beside its fixed addresses.
+// Local is the variable part of the local VM's report.
 type Local struct {
 	// ConfigVersion is the configuration version in force.
 	ConfigVersion int64
@@ -36,42 +36,48 @@
 	Ready bool
 	// InFlight is the number of requests in flight.
 	InFlight int64
-	// ServedTokens counts tokens served by team since the start. The map must
-	// not be changed afterwards.
+	// ServedTokens counts the tokens served by team since the process started. The
+	// map must not be modified afterwards.
 	ServedTokens map[string]int64
-	// Withdrawn and WithdrawnSum tell which withdrawn keys the VM knows of.
+	// Withdrawn and WithdrawnSum are the number and the checksum of the withdrawn
+	// keys stored at the VM.
 	Withdrawn    int64
 	WithdrawnSum uint64
 	// QuotaIncarnation is the incarnation in the VM's quota record.
 	QuotaIncarnation uint64
 }
 
-// Options configure a Fleet. Self, Pool and Local must be set.
+// Options configures a Fleet. Self, Pool and Local must be set.
 type Options struct {
 	// Self holds the local VM's ID, incarnation, failure domain and addresses.
-	// The incarnation must grow with every start, for example the start time.
+	// The incarnation must increase with every start, for example the start time.
 	Self membership.Node
 	// Membership holds the settings of the state machine.
 	Membership membership.Config
-	// Period is the time between heartbeats. The default is DefaultPeriod.
+	// Period is the time between rounds of heartbeats. The default is DefaultPeriod
+	// (1s).
 	Period time.Duration
-	// Timeout bounds one heartbeat. The default is DefaultTimeout.
+	// Timeout bounds one heartbeat or configuration fetch. The default is
+	// DefaultTimeout (800ms).
 	Timeout time.Duration
-	// Pool makes the calls.
+	// Pool provides the connections to peers.
 	Pool *peer.Pool
-	// Log receives changes of the fleet.
+	// Log receives changes of members and failed calls.
 	Log zerolog.Logger
-	// Local is asked for the local VM's state before every heartbeat. It is
-	// called from one goroutine and must not block.
+	// Local returns the local VM's state. It is called before every round of
+	// heartbeats and every heartbeat response, from one goroutine, and must not
+	// block.
 	Local func() Local
-	// Seeds is asked in every period for addresses at which other VMs may be
-	// found, from the settings and the VM list. It must not block.
+	// Seeds returns addresses at which other VMs may be found, from the settings
+	// and the VM list. It is called in every period and must not block. It may be
+	// nil.
 	Seeds func() []string
-	// Update returns the configuration version in force and what leads there
-	// from the version that a peer has. The update is empty if the peer is not
-	// behind. It may be nil.
+	// Update returns the configuration version in force and the update that leads
+	// there from the version have of a peer. The update is empty if the peer is not
+	// behind. Update may be nil.
 	Update func(have int64) (version int64, update []byte)
-	// Offer is given the update of a peer that is ahead. It may be nil.
+	// Offer receives the update that was fetched from a peer. It may be nil, in which
+	// case no configuration is fetched.
 	Offer func(update []byte)
 }
 
@@ -82,19 +88,21 @@
 	options  Options
 	state    *membership.State
 	view     atomic.Pointer[membership.View]
-	inbox    chan received
+	inbox    chan incomingReport
 	done     chan struct{}
 	fetching atomic.Bool
 }
 
-type received struct {
-	sender membership.Node
-	heard  []membership.Node
-	// answer is nil for a heartbeat's response, which asks for none.
-	answer chan *peerpb.HeartbeatResponse
+// incomingReport is a heartbeat, or the response to one, for the control goroutine.
+type incomingReport struct {
+	sender  membership.Node
+	relayed []membership.Node
+	// response receives the response to a heartbeat. It is nil if the report itself is
+	// a response.
+	response chan *peerpb.HeartbeatResponse
 }
 
-// New returns a fleet that knows only the local VM.
+// New returns a fleet whose only member is the local VM.
 func New(options Options) *Fleet {
 	if options.Period == 0 {
 		options.Period = DefaultPeriod
@@ -105,53 +113,55 @@
 	f := &Fleet{
 		options: options,
 		state:   membership.New(options.Membership, options.Self),
-		inbox:   make(chan received, inboxSize),
+		inbox:   make(chan incomingReport, inboxSize),
 		done:    make(chan struct{}),
 	}
 	f.view.Store(f.state.View(time.Now()))
 	return f
 }
 
-// View returns the latest picture of the fleet. It is immutable.
+// View returns the latest view of the fleet. It is immutable.
 func (f *Fleet) View() *membership.View {
 	return f.view.Load()
 }
 
-// HearsMajority reports whether the view is fresh and more than half of the
-// heartbeat partners were heard within the suspicion time. A VM that hears
-// neither them nor the key-value service cannot know of a withdrawn key. The
-// age of the view is part of the question: a process that was paused wakes with
-// an old view and must not trust it.
+// HearsMajority reports whether the view is no older than two periods and more than half
+// of the heartbeat partners were alive within the suspicion time. A VM that can reach
+// neither them nor the key-value service cannot learn that a key was withdrawn. The age
+// of the view is checked because a process that was paused resumes with an old view,
+// which must not be relied on.
 func (f *Fleet) HearsMajority(now time.Time) bool {
 	v := f.View()
-	// The monotonic clock may stand still while a VM is paused, and the wall
-	// clock may be set back, so the larger of the two counts.
+	// The monotonic clock may stop while a VM is paused, and the wall clock may be set
+	// back, so the larger of the two ages is used.
 	age := max(now.Sub(v.At), now.Round(0).Sub(v.At.Round(0)))
-	return age <= 2*f.options.Period && v.HearsMajority()
+	return age <= 2*f.options.Period && v.HasPartnerMajority()
 }
 
-// Run exchanges heartbeats until ctx ends and returns nil then.
+// Run exchanges heartbeats until ctx is done. It then waits for the calls in progress
+// and returns nil.
 func (f *Fleet) Run(ctx context.Context) error {
 	defer close(f.done)
 	group, ctx := errgroup.WithContext(ctx)
 	ticker := time.NewTicker(f.options.Period)
 	defer ticker.Stop()
-	f.round(ctx, group)
+	f.sendHeartbeats(ctx, group)
 	for {
 		select {
 		case <-ctx.Done():
 			return group.Wait()
 		case <-ticker.C:
-			f.round(ctx, group)
+			f.sendHeartbeats(ctx, group)
 		case r := <-f.inbox:
-			f.take(r)
+			f.handleReport(r)
 		}
 	}
 }
 
-// round sends one heartbeat to each target without waiting for the answers,
-// which come back through the inbox.
-func (f *Fleet) round(ctx context.Context, group *errgroup.Group) {
+// sendHeartbeats sends one heartbeat to each target without waiting for the responses,
+// which are delivered through the inbox. It also starts a configuration fetch if one is
+// needed.
+func (f *Fleet) sendHeartbeats(ctx context.Context, group *errgroup.Group) {
 	now := time.Now()
 	f.updateSelf()
 	f.state.Tick(now)
@@ -190,24 +200,25 @@
 		f.options.Log.Debug().Err(err).Str("peer", address).Msg("heartbeat failed")
 		return
 	}
-	r := received{sender: peer.DecodeNode(response.GetReceiver()), heard: peer.DecodeNodes(response.GetHeard())}
+	r := incomingReport{sender: peer.DecodeNode(response.GetReceiver()), relayed: peer.DecodeNodes(response.GetHeard())}
 	select {
 	case f.inbox <- r:
 	case <-ctx.Done():
 	}
 }
 
-// take lets the state machine learn from a heartbeat or a response.
-func (f *Fleet) take(r received) {
+// handleReport passes a heartbeat or a heartbeat response to the state machine, publishes
+// the new view and sends the response to a heartbeat.
+func (f *Fleet) handleReport(r incomingReport) {
 	now := time.Now()
-	f.state.Receive(now, r.sender, r.heard)
-	if r.answer == nil {
+	f.state.Receive(now, r.sender, r.relayed)
+	if r.response == nil {
 		f.publish(now)
 		return
 	}
 	f.updateSelf()
 	f.publish(now)
-	r.answer <- &peerpb.HeartbeatResponse{
+	r.response <- &peerpb.HeartbeatResponse{
 		Receiver: peer.EncodeNode(f.state.Report()),
 		Heard:    peer.EncodeNodes(f.state.Rumors()),
 	}
@@ -219,20 +230,20 @@
 	for _, m := range next.Members {
 		old, known := previous.Lookup(m.VM)
 		if !known || old.Status != m.Status || old.Leaving != m.Leaving || old.Incarnation != m.Incarnation {
-			f.options.Log.Info().Str("vm", m.VM).Stringer("status", m.Status).Bool("leaving", m.Leaving).Msg("fleet changed")
+			f.options.Log.Info().Str("vm", m.VM).Stringer("status", m.Status).Bool("leaving", m.Leaving).Msg("fleet member changed")
 		}
 	}
 }
 
-// pullConfig fetches the configuration from a VM that reports a newer one, or
-// else all that another knows from one that knows of other withdrawn keys. One
-// fetch runs at a time.
+// pullConfig fetches the configuration from a VM that reports a newer version. If there
+// is none, it fetches the complete configuration from a VM that may have withdrawn keys
+// that the local one is missing. One fetch runs at a time.
 func (f *Fleet) pullConfig(ctx context.Context, group *errgroup.Group) {
 	view := f.View()
 	have := view.Self.ConfigVersion
 	version, vm := view.NewestConfigVersion()
 	if vm == "" {
-		have, vm = 0, view.MissedWithdrawals()
+		have, vm = 0, view.VMWithMissedWithdrawals()
 	}
 	if vm == "" || f.options.Offer == nil || !f.fetching.CompareAndSwap(false, true) {
 		return
@@ -242,7 +253,7 @@
 		defer f.fetching.Store(false)
 		response, err := f.options.Pool.FetchConfig(ctx, member.PeerAddress, f.options.Timeout, have)
 		if err != nil {
-			f.options.Log.Warn().Err(err).Str("vm", vm).Int64("version", version).Msg("configuration not fetched")
+			f.options.Log.Warn().Err(err).Str("vm", vm).Int64("version", version).Msg("fetching the configuration from a peer failed")
 			return nil
 		}
 		if len(response.GetEnvelope()) > 0 {
@@ -252,12 +263,13 @@
 	})
 }
 
-// Heartbeat takes in another VM's heartbeat and answers in kind.
+// Heartbeat processes another VM's heartbeat and returns the local VM's report and the
+// reports that it relays. It implements peerpb.MembershipServer.
 func (f *Fleet) Heartbeat(ctx context.Context, request *peerpb.HeartbeatRequest) (*peerpb.HeartbeatResponse, error) {
-	r := received{
-		sender: peer.DecodeNode(request.GetSender()),
-		heard:  peer.DecodeNodes(request.GetHeard()),
-		answer: make(chan *peerpb.HeartbeatResponse, 1),
+	r := incomingReport{
+		sender:   peer.DecodeNode(request.GetSender()),
+		relayed:  peer.DecodeNodes(request.GetHeard()),
+		response: make(chan *peerpb.HeartbeatResponse, 1),
 	}
 	select {
 	case f.inbox <- r:
@@ -267,7 +279,7 @@
 		return nil, peer.Unavailable(ctx.Err())
 	}
 	select {
-	case response := <-r.answer:
+	case response := <-r.response:
 		return response, nil
 	case <-f.done:
 		return nil, peer.Unavailable(ErrStopped)
@@ -276,7 +288,8 @@
 	}
 }
 
-// FetchConfig gives the configuration in force to a VM that is behind.
+// FetchConfig returns the update to the configuration in force for a VM that is behind.
+// It implements peerpb.MembershipServer.
 func (f *Fleet) FetchConfig(_ context.Context, request *peerpb.FetchConfigRequest) (*peerpb.FetchConfigResponse, error) {
 	if f.options.Update == nil {
 		return &peerpb.FetchConfigResponse{}, nil
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	testPeriod = 20 * time.Millisecond
-	patience   = 20 * time.Second
-	pollEvery  = 5 * time.Millisecond
+	testPeriod        = 20 * time.Millisecond
+	eventuallyTimeout = 20 * time.Second
+	pollInterval      = 5 * time.Millisecond
 )
 
-// vm is one VM's fleet over real connections on the loopback interface.
+// vm is one VM's Fleet with real connections over the loopback interface.
 type vm struct {
 	fleet   *Fleet
 	version atomic.Int64
@@ -73,10 +73,10 @@
 	return lis
 }
 
-// One VM has accepted a new configuration while the key-value service is out,
-// or its watch is the only one that is not silent. The others must learn of the
-// version from heartbeats and fetch it, or a withdrawn key works on at them.
-func TestVMsFindEachOtherAndFetchConfiguration(t *testing.T) {
+// One VM has accepted a new configuration while the key-value service is unavailable, or
+// only its watch delivers events. The other VMs must learn of the version from heartbeats
+// and fetch it, or they would go on accepting a withdrawn key.
+func TestVMsDiscoverEachOtherAndFetchConfiguration(t *testing.T) {
 	first := listen(t)
 	seed := first.Addr().String()
 	a := startVM(t, "a", "d1", 1, first, seed, 1)
@@ -85,13 +85,13 @@
 	defer a.stop()
 	defer c.stop()
 	for _, v := range []*vm{a, b, c} {
-		require.Eventually(t, func() bool { return len(v.fleet.View().Healthy()) == 3 }, patience, pollEvery)
-		require.Eventually(t, func() bool { return v.version.Load() == 7 }, patience, pollEvery)
-		require.Eventually(t, func() bool { return v.fleet.HearsMajority(time.Now()) }, patience, pollEvery)
+		require.Eventually(t, func() bool { return len(v.fleet.View().Healthy()) == 3 }, eventuallyTimeout, pollInterval)
+		require.Eventually(t, func() bool { return v.version.Load() == 7 }, eventuallyTimeout, pollInterval)
+		require.Eventually(t, func() bool { return v.fleet.HearsMajority(time.Now()) }, eventuallyTimeout, pollInterval)
 	}
 	b.stop()
-	require.Eventually(t, func() bool { return len(a.fleet.View().Healthy()) == 2 }, patience, pollEvery)
-	require.False(t, a.fleet.HearsMajority(time.Now().Add(time.Minute)), "an old view says nothing of the present")
+	require.Eventually(t, func() bool { return len(a.fleet.View().Healthy()) == 2 }, eventuallyTimeout, pollInterval)
+	require.False(t, a.fleet.HearsMajority(time.Now().Add(time.Minute)), "a view that is a minute old must not count as fresh")
 }
 
 func TestPlainTextMustBeAllowed(t *testing.T) {
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// BenchmarkView is what a VM of the target's size does after each heartbeat.
+// BenchmarkView measures building the view, which a VM does after each heartbeat, in a
+// fleet of the target size (420 VMs, 38 failure domains).
 func BenchmarkView(b *testing.B) {
 	served := make(map[string]int64)
 	for i := range 40 {
--- a/internal/membership/counters.go
+++ b/internal/membership/counters.go
@@ -2,63 +2,64 @@
 
 import "maps"
 
-// fullEvery is the number of rounds after which a report carries all counters
-// again, for partners that are new or missed a heartbeat.
-const fullEvery = 16
+// fullReportInterval is the number of rounds between reports that carry all counters,
+// for partners that are new or missed a heartbeat.
+const fullReportInterval = 16
 
-// counters decides which counters of served tokens a report carries. A VM of a
-// large fleet serves a few of many teams in a round; without this, the counters
-// that stand still would be most of its heartbeats.
-type counters struct {
+// counterSelector selects the counters of served tokens that a report carries. In a
+// large fleet a VM serves only a few of many teams in a round; without the selection,
+// unchanged counters would make up most of its heartbeats.
+type counterSelector struct {
 	rounds uint64
-	told   map[string]int64
-	// changed and before hold the teams whose counters changed in the last round
-	// and in the one before: a partner hears from this VM once a round, at any
-	// time of it.
-	changed, before map[string]struct{}
+	// reported holds all counters at the start of the current round.
+	reported map[string]int64
+	// changed and changedBefore hold the teams whose counters changed in the last
+	// round and in the one before it. Both are needed because a partner receives one
+	// heartbeat of this VM per round, at any time within the round.
+	changed, changedBefore map[string]struct{}
 }
 
-// tick begins a round.
-func (c *counters) tick(served map[string]int64) {
+// startRound starts a round with the present counters.
+func (c *counterSelector) startRound(served map[string]int64) {
 	c.rounds++
-	c.before = c.changed
+	c.changedBefore = c.changed
 	c.changed = make(map[string]struct{})
 	for team, tokens := range served {
-		if last, known := c.told[team]; !known || last != tokens {
+		if last, known := c.reported[team]; !known || last != tokens {
 			c.changed[team] = struct{}{}
 		}
 	}
-	c.told = served
+	c.reported = served
 }
 
-// selected returns the counters to tell now, nil for none.
-func (c *counters) selected(served map[string]int64) map[string]int64 {
-	if c.rounds%fullEvery == 0 {
+// forReport returns the counters to include in a report now, or nil if there are none.
+func (c *counterSelector) forReport(served map[string]int64) map[string]int64 {
+	if c.rounds%fullReportInterval == 0 {
 		return served
 	}
-	var some map[string]int64
+	var selected map[string]int64
 	for team, tokens := range served {
 		_, now := c.changed[team]
-		_, before := c.before[team]
-		if !now && !before && c.told[team] == tokens {
+		_, before := c.changedBefore[team]
+		if !now && !before && c.reported[team] == tokens {
 			continue
 		}
-		if some == nil {
-			some = make(map[string]int64)
+		if selected == nil {
+			selected = make(map[string]int64)
 		}
-		some[team] = tokens
+		selected[team] = tokens
 	}
-	return some
+	return selected
 }
 
-// merged returns the counters after a report of the same process. The old map
-// may be shared by views and is not changed.
-func merged(old, news map[string]int64) map[string]int64 {
-	if len(news) == 0 {
+// mergeCounters returns the old counters updated with those of a report of the same
+// process. The old map may be shared with views and is not modified.
+func mergeCounters(old, update map[string]int64) map[string]int64 {
+	if len(update) == 0 {
 		return old
 	}
-	all := make(map[string]int64, max(len(old), len(news)))
+	all := make(map[string]int64, max(len(old), len(update)))
 	maps.Copy(all, old)
-	maps.Copy(all, news)
+	maps.Copy(all, update)
 	return all
 }
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,5 +1,5 @@
-// Package membership decides who is in the fleet: which VMs are heard, which
-// are suspected and which are gone, and which few of them each VM exchanges
-// heartbeats with. It is a state machine without I/O: reports and the present
-// time go in, heartbeat targets and an immutable view come out.
+// Package membership tracks the VMs of the fleet by heartbeats and gossip: which are
+// alive, suspected or gone, and which few partners each VM exchanges heartbeats with.
+// It is a state machine without I/O: its inputs are reports and the current time, its
+// outputs are heartbeat targets and an immutable view.
 package membership
--- a/internal/membership/ring.go
+++ b/internal/membership/ring.go
@@ -10,8 +10,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ringSlot is a VM's place: its rank in its failure domain as a fraction of the
-// domain's size, so that a walk along the ring passes through all domains in turn.
+// ringSlot is a VM's place on the ring. The position is its rank in its failure domain
+// as a fraction of the domain's size, so that a walk along the ring visits all domains
+// in turn.
 type ringSlot struct {
 	vm       string
 	domain   string
@@ -19,9 +20,9 @@
 	position float64
 }
 
-// ringOrder arranges the VMs, the local one included, so that neighbours are in
-// different failure domains wherever the domains' sizes allow it. VMs that know
-// the same fleet compute the same ring.
+// ringOrder returns the VMs, including the local one, in the order of the ring.
+// Neighbours are in different failure domains wherever the domains' sizes allow it. VMs
+// with the same view of the fleet compute the same ring.
 func ringOrder(domains map[string]string) []string {
 	byDomain := make(map[string][]ringSlot)
 	for vm, domain := range domains {
@@ -47,31 +48,31 @@
 	return order
 }
 
-func (s *State) ringNow() []string {
+func (s *State) currentRing() []string {
 	if s.ringStale {
 		domains := map[string]string{s.self.VM: s.self.FailureDomain}
 		for vm, m := range s.members {
 			domains[vm] = m.node.FailureDomain
 		}
 		s.ring = ringOrder(domains)
-		s.names = slices.Sorted(maps.Keys(s.members))
+		s.sortedVMs = slices.Sorted(maps.Keys(s.members))
 		s.ringStale = false
 	}
 	return s.ring
 }
 
-// neighbours returns up to count VMs at growing distances along the ring, or
-// against it if step is -1. The first is next to the local VM, the others stand
-// at powers of the ring's size, so that news crosses the ring in a few hops. A
-// VM to be skipped gives its place to the next one.
-func (s *State) neighbours(step, count int, skip func(vm string) bool) []string {
-	ring := s.ringNow()
+// neighbours returns up to count VMs at growing distances along the ring, or against it
+// if direction is -1. The first is next to the local VM, the distances of the others
+// are fractional powers of the ring's size, so that gossip crosses the ring in a few
+// hops. A VM for which skip returns true is replaced by the next one.
+func (s *State) neighbours(direction, count int, skip func(vm string) bool) []string {
+	ring := s.currentRing()
 	at := slices.Index(ring, s.self.VM)
 	var found []string
 	for i := range count {
 		distance := int(math.Round(math.Pow(float64(len(ring)), float64(i)/float64(count))))
 		for ; distance < len(ring); distance++ {
-			vm := ring[(at+step*distance+len(ring))%len(ring)]
+			vm := ring[(at+direction*distance+len(ring))%len(ring)]
 			if !skip(vm) && !slices.Contains(found, vm) {
 				found = append(found, vm)
 				break
@@ -81,55 +82,55 @@
 	return found
 }
 
-// partnerSet holds the VMs that the local one sends heartbeats to, and those
-// that send theirs to it. It counts VMs that fell silent, because the question
-// of how many partners are heard must not forget those that are not.
+// partnerSet returns the VMs that the local one sends heartbeats to and those that send
+// heartbeats to it. It includes silent VMs, because the fraction of partners that are
+// alive must count those that are not.
 func (s *State) partnerSet() map[string]struct{} {
-	none := func(string) bool { return false }
+	skipNone := func(string) bool { return false }
 	set := make(map[string]struct{}, 2*s.cfg.Partners)
-	for _, step := range []int{1, -1} {
-		for _, vm := range s.neighbours(step, s.cfg.Partners, none) {
+	for _, direction := range []int{1, -1} {
+		for _, vm := range s.neighbours(direction, s.cfg.Partners, skipNone) {
 			set[vm] = struct{}{}
 		}
 	}
 	return set
 }
 
-// Targets returns the peer addresses to send the next round of heartbeats to:
-// the next VMs on the ring, passing over those that are gone, and a bounded
-// number of seeds and gone VMs in turn, so that a fleet that fell apart finds
-// itself again.
+// Targets returns the peer addresses for the next round of heartbeats: the next VMs on
+// the ring that are not gone, and in turn a bounded number of seeds and gone VMs, so
+// that a partitioned fleet merges again.
 func (s *State) Targets(now time.Time) []string {
 	gone := func(vm string) bool {
 		m := s.members[vm]
-		return m.silent || now.Sub(m.lastHeard) > s.cfg.IndirectAfter
+		return m.silent || now.Sub(m.lastReportAt) > s.cfg.IndirectAfter
 	}
 	targets := make([]string, 0, s.cfg.Partners+extraTargets)
 	for _, vm := range s.neighbours(1, s.cfg.Partners, gone) {
 		targets = append(targets, s.members[vm].node.PeerAddress)
 	}
-	extra := s.unheard(now)
+	extra := s.extraAddresses(now)
 	for range min(extraTargets, len(extra)) {
-		targets = append(targets, extra[s.cursor%len(extra)])
-		s.cursor++
+		targets = append(targets, extra[s.nextExtraTarget%len(extra)])
+		s.nextExtraTarget++
 	}
 	slices.Sort(targets)
 	return slices.Compact(targets)
 }
 
-// unheard lists addresses that may belong to a VM which is not heard.
-func (s *State) unheard(now time.Time) []string {
-	heard := map[string]struct{}{s.self.PeerAddress: {}}
+// extraAddresses returns the addresses of gone VMs and those seeds that do not belong to
+// a VM that is alive.
+func (s *State) extraAddresses(now time.Time) []string {
+	alive := map[string]struct{}{s.self.PeerAddress: {}}
 	var addresses []string
 	for _, m := range s.members {
-		if !m.silent && now.Sub(m.lastHeard) <= s.cfg.IndirectAfter {
-			heard[m.node.PeerAddress] = struct{}{}
+		if !m.silent && now.Sub(m.lastReportAt) <= s.cfg.IndirectAfter {
+			alive[m.node.PeerAddress] = struct{}{}
 			continue
 		}
 		addresses = append(addresses, m.node.PeerAddress)
 	}
 	for _, seed := range s.seeds {
-		if _, ok := heard[seed]; !ok {
+		if _, ok := alive[seed]; !ok {
 			addresses = append(addresses, seed)
 		}
 	}
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The default settings.
+// Default values of Config.
 const (
 	DefaultPartners      = 3
 	DefaultSuspectAfter  = 3 * time.Second
@@ -14,26 +14,30 @@
 	DefaultIndirectAfter = 5 * time.Minute
 	DefaultForgetAfter   = 10 * time.Minute
 	DefaultRumors        = 8
-	// extraTargets is the number of addresses tried in each round beside the
-	// partners: seeds not heard from yet and VMs believed gone.
+	// extraTargets is the number of additional heartbeat targets in each round: seeds
+	// whose VM is not alive and VMs that are gone.
 	extraTargets = 2
 )
 
-// Config holds the settings of the state machine. Zero values take defaults.
+// Config holds the settings of the state machine. Zero fields take their defaults.
 type Config struct {
 	// Partners is the number of VMs that this one sends heartbeats to. About as
-	// many others send theirs to it, so it hears twice this number directly.
+	// many others send heartbeats to it, so it exchanges reports directly with twice
+	// this number. The default is 3.
 	Partners int
-	// SuspectAfter is how long a partner may be silent before it is suspected.
+	// SuspectAfter is the time without a newer report after which a partner is
+	// suspected. The default is 3s.
 	SuspectAfter time.Duration
-	// GoneAfter is how long a partner may be silent before it counts as gone.
+	// GoneAfter is the time without a newer report after which a partner is gone. The
+	// default is 10s.
 	GoneAfter time.Duration
-	// IndirectAfter is how long a VM that is no partner may be without news
-	// before it counts as gone.
+	// IndirectAfter is the time without a newer report after which a VM that is not a
+	// partner is gone. The default is 5m.
 	IndirectAfter time.Duration
-	// ForgetAfter is how long a VM that is gone stays listed.
+	// ForgetAfter is how long a VM that is gone stays listed. The default is 10m.
 	ForgetAfter time.Duration
-	// Rumors is the number of other VMs' reports that ride on each heartbeat.
+	// Rumors is the number of other VMs' reports relayed with each heartbeat. The
+	// default is 8.
 	Rumors int
 }
 
@@ -47,42 +51,44 @@
 	return c
 }
 
+// member is the local state for one other VM.
 type member struct {
-	node       Node
-	lastHeard  time.Time
-	lastDirect time.Time
-	// silent means that this VM or one that passed the word on was a partner of
-	// the member and has heard nothing of it for GoneAfter.
+	node         Node
+	lastReportAt time.Time
+	lastDirectAt time.Time
+	// silent means that a partner of the member, either this VM or one whose finding
+	// was relayed to it, has received no newer report of it for GoneAfter.
 	silent bool
 }
 
-// pass is a changed report that waits to be passed on.
-type pass struct {
-	vm   string
-	left int
+// urgentReport is a changed report that is still to be relayed with the next remaining
+// heartbeats.
+type urgentReport struct {
+	vm        string
+	remaining int
 }
 
-// State is the membership state machine of one VM. It is not safe for
-// concurrent use.
+// State is the membership state machine of one VM. It is not safe for concurrent use.
 type State struct {
-	cfg     Config
-	self    Node
-	members map[string]*member
-	seeds   []string
-	cursor  int
-	// rotation holds the VMs in the order in which their reports are passed on,
-	// and urgent those that changed, with the number of passes left.
+	cfg             Config
+	self            Node
+	members         map[string]*member
+	seeds           []string
+	nextExtraTarget int
+	// rotation holds the VMs in the order in which their reports are relayed, and
+	// urgent those whose reports have changed, which are relayed first.
 	rotation []string
-	urgent   []pass
-	counters counters
-	// ring caches ringOrder until a VM joins, goes or changes its domain.
+	urgent   []urgentReport
+	counters counterSelector
+	// ring caches ringOrder. ringStale is set when a VM joins, is removed or
+	// reports a change.
 	ring []string
-	// names holds the members in order, made with the ring.
-	names     []string
+	// sortedVMs holds the members' IDs in order. It is computed together with ring.
+	sortedVMs []string
 	ringStale bool
 }
 
-// New returns the state of a VM that knows only itself.
+// New returns the state of a VM that has no members but itself.
 func New(cfg Config, self Node) *State {
 	return &State{cfg: cfg.withDefaults(), self: self, members: make(map[string]*member), ringStale: true}
 }
@@ -92,49 +98,50 @@
 	return s.self
 }
 
-// Report returns what to tell partners now: the local VM's latest report with
-// the counters that changed of late.
+// Report returns the report to send to partners now: the local VM's latest report with
+// the recently changed counters, or all counters in every fullReportInterval-th round.
 func (s *State) Report() Node {
 	n := s.self
-	n.ServedTokens = s.counters.selected(n.ServedTokens)
+	n.ServedTokens = s.counters.forReport(n.ServedTokens)
 	return n
 }
 
-// UpdateSelf changes the local VM's report and counts a new sequence number.
-// The ID and the incarnation stay as they were.
+// UpdateSelf applies change to the local VM's report and increments its sequence
+// number. The ID and the incarnation cannot be changed.
 func (s *State) UpdateSelf(change func(n *Node)) {
 	vm, incarnation, sequence := s.self.VM, s.self.Incarnation, s.self.Sequence
 	change(&s.self)
 	s.self.VM, s.self.Incarnation, s.self.Sequence = vm, incarnation, sequence+1
 }
 
-// SetSeeds replaces the addresses at which other VMs may be found, from the
-// settings and the VM list. The list lags, so a seed proves nothing.
+// SetSeeds replaces the addresses at which other VMs may be found, which come from the
+// settings and the VM list. The list lags, so a seed does not imply that a VM exists
+// there.
 func (s *State) SetSeeds(addresses []string) {
 	s.seeds = slices.Compact(slices.Sorted(slices.Values(addresses)))
 }
 
-// Receive takes in a heartbeat or its answer: the sender's own report, heard
-// directly, and the reports that it passed on.
-func (s *State) Receive(now time.Time, sender Node, passedOn []Node) {
-	s.learn(now, sender, true)
-	for _, n := range passedOn {
+// Receive processes a heartbeat or a heartbeat response: the sender's own report and
+// the reports of other VMs that it relayed.
+func (s *State) Receive(now time.Time, sender Node, relayed []Node) {
+	s.applyReport(now, sender, true)
+	for _, n := range relayed {
 		if n.Silent {
-			s.learnSilence(n)
+			s.applySilence(n)
 			continue
 		}
-		s.learn(now, n, false)
+		s.applyReport(now, n, false)
 	}
 }
 
-func (s *State) learn(now time.Time, n Node, direct bool) {
+func (s *State) applyReport(now time.Time, n Node, direct bool) {
 	if n.VM == "" || n.VM == s.self.VM {
 		return
 	}
 	m, known := s.members[n.VM]
 	if known && !n.newerThan(&m.node) {
-		// An old report tells nothing about the present, even from the VM itself:
-		// it may have been held up on the way for longer than the VM lived.
+		// An old report is no evidence that the VM is alive now, even if the VM sent it
+		// itself: the network may have delayed it until after the VM died.
 		return
 	}
 	if !known {
@@ -145,30 +152,30 @@
 	served := m.node.ServedTokens
 	sameProcess := m.node.Incarnation == n.Incarnation
 	m.node = n.clone()
-	// Reports leave counters out to stay small: those that stand still, and all
-	// of them when they are passed on.
+	// Reports omit counters to stay small: direct reports the unchanged ones, relayed
+	// reports all of them.
 	if sameProcess {
-		m.node.ServedTokens = merged(served, n.ServedTokens)
+		m.node.ServedTokens = mergeCounters(served, n.ServedTokens)
 	}
-	m.lastHeard = now
+	m.lastReportAt = now
 	m.silent = false
 	if direct {
-		m.lastDirect = now
+		m.lastDirectAt = now
 	}
 	if !known {
 		s.rotation = append(s.rotation, n.VM)
 	}
 	if changed {
 		s.ringStale = true
-		s.hurry(n.VM)
+		s.markUrgent(n.VM)
 	}
 }
 
-// learnSilence takes in the word that a VM's partners no longer hear it. Any
-// newer report of the VM itself refutes it. The word about a newer report
-// replaces that about an older one, or a report in between that is still being
-// passed on would seem to refute both.
-func (s *State) learnSilence(n Node) {
+// applySilence processes a relayed finding that a VM's partners no longer receive its
+// reports. Any newer report of the VM itself refutes the finding. A finding about a newer
+// report replaces one about an older report; otherwise a report in between that is still
+// being relayed would seem to refute both.
+func (s *State) applySilence(n Node) {
 	m, known := s.members[n.VM]
 	if !known || m.node.newerThan(&n) {
 		return
@@ -181,33 +188,34 @@
 	m.node.Silent = false
 	m.node.ServedTokens = served
 	m.silent = true
-	s.hurry(n.VM)
+	s.markUrgent(n.VM)
 }
 
-// hurry has a change passed on to every partner before anything else, so that a
-// VM that leaves is known everywhere in a few rounds.
-func (s *State) hurry(vm string) {
-	s.urgent = slices.DeleteFunc(s.urgent, func(p pass) bool { return p.vm == vm })
-	s.urgent = append(s.urgent, pass{vm: vm, left: 2 * s.cfg.Partners})
+// markUrgent schedules a VM's report to be relayed to every partner before all other
+// reports, so that all VMs learn within a few rounds that a VM leaves.
+func (s *State) markUrgent(vm string) {
+	s.urgent = slices.DeleteFunc(s.urgent, func(r urgentReport) bool { return r.vm == vm })
+	s.urgent = append(s.urgent, urgentReport{vm: vm, remaining: 2 * s.cfg.Partners})
 }
 
-// Tick looks for partners that fell silent and forgets VMs that have been gone
-// for long, and sooner those that had said that they were leaving.
+// Tick marks partners that have been silent for GoneAfter. It removes VMs without a newer
+// report for GoneAfter plus ForgetAfter, and VMs that had announced that they were leaving
+// already after GoneAfter.
 func (s *State) Tick(now time.Time) {
-	s.counters.tick(s.self.ServedTokens)
+	s.counters.startRound(s.self.ServedTokens)
 	for vm := range s.partnerSet() {
 		m := s.members[vm]
-		if !m.silent && now.Sub(m.lastHeard) > s.cfg.GoneAfter {
+		if !m.silent && now.Sub(m.lastReportAt) > s.cfg.GoneAfter {
 			m.silent = true
-			s.hurry(vm)
+			s.markUrgent(vm)
 		}
 	}
 	for vm, m := range s.members {
-		keep := s.cfg.GoneAfter
+		removeAfter := s.cfg.GoneAfter
 		if !m.node.Leaving {
-			keep += s.cfg.ForgetAfter
+			removeAfter += s.cfg.ForgetAfter
 		}
-		if now.Sub(m.lastHeard) > keep {
+		if now.Sub(m.lastReportAt) > removeAfter {
 			delete(s.members, vm)
 			s.rotation = slices.DeleteFunc(s.rotation, func(other string) bool { return other == vm })
 			s.ringStale = true
@@ -215,15 +223,15 @@
 	}
 }
 
-// Rumors returns the reports to pass on with the next heartbeat, a bounded
-// number: changes first, then all others in turn.
+// Rumors returns the reports to relay with the next heartbeat, at most Config.Rumors:
+// changed reports first, then all others in turn.
 func (s *State) Rumors() []Node {
 	nodes := make([]Node, 0, s.cfg.Rumors)
 	for i := range s.urgent[:min(len(s.urgent), s.cfg.Rumors)] {
-		s.urgent[i].left--
+		s.urgent[i].remaining--
 		nodes = s.appendReport(nodes, s.urgent[i].vm)
 	}
-	s.urgent = slices.DeleteFunc(s.urgent, func(p pass) bool { return p.left == 0 })
+	s.urgent = slices.DeleteFunc(s.urgent, func(r urgentReport) bool { return r.remaining == 0 })
 	for range len(s.rotation) {
 		if len(nodes) >= s.cfg.Rumors {
 			break
@@ -251,49 +259,50 @@
 	return append(nodes, n)
 }
 
-// status judges a member. A partner reports every period, so its silence shows
-// fast; news of the others comes through several VMs and takes longer.
+// status returns the status of a member. A partner reports every period, so its silence
+// is detected quickly; reports of other members are relayed by several VMs and take
+// longer.
 func (s *State) status(now time.Time, m *member, partner bool) Status {
-	silent := now.Sub(m.lastHeard)
+	sinceReport := now.Sub(m.lastReportAt)
 	if m.silent {
 		return Gone
 	}
 	if !partner {
-		if silent > s.cfg.IndirectAfter {
+		if sinceReport > s.cfg.IndirectAfter {
 			return Gone
 		}
 		return Heard
 	}
 	switch {
-	case silent <= s.cfg.SuspectAfter:
+	case sinceReport <= s.cfg.SuspectAfter:
 		return Heard
-	case silent <= s.cfg.GoneAfter:
+	case sinceReport <= s.cfg.GoneAfter:
 		return Suspected
 	default:
 		return Gone
 	}
 }
 
-// View returns the picture of the fleet at this time. It shares the maps of the
-// reports, which nobody changes after they were received.
+// View returns a snapshot of the fleet at the given time. It shares the maps of the
+// reports, which are not modified after they were received.
 func (s *State) View(now time.Time) *View {
 	v := &View{At: now, Self: s.self, Members: make([]Member, 0, len(s.members))}
 	partners := s.partnerSet()
-	for _, vm := range s.names {
+	for _, vm := range s.sortedVMs {
 		m := s.members[vm]
 		_, partner := partners[vm]
 		v.Members = append(v.Members, Member{
-			Node:      m.node,
-			Status:    s.status(now, m, partner),
-			Partner:   partner,
-			LastHeard: m.lastHeard,
+			Node:         m.node,
+			Status:       s.status(now, m, partner),
+			Partner:      partner,
+			LastReportAt: m.lastReportAt,
 		})
 		if !partner {
 			continue
 		}
-		v.PartnersKnown++
-		if !m.lastDirect.IsZero() && now.Sub(m.lastDirect) <= s.cfg.SuspectAfter {
-			v.PartnersHeard++
+		v.PartnersTotal++
+		if !m.lastDirectAt.IsZero() && now.Sub(m.lastDirectAt) <= s.cfg.SuspectAfter {
+			v.PartnersAlive++
 		}
 	}
 	return v
--- a/internal/membership/state_test.go
+++ b/internal/membership/state_test.go
@@ -12,107 +12,107 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// plain steps a fleet of state machines over a network without loss.
-type plain struct {
+// cluster runs a fleet of state machines in rounds over a network without loss.
+type cluster struct {
 	now    time.Time
 	states map[string]*State
 	down   map[string]bool
-	// largest is the largest number of heartbeats that one VM sent in a round.
-	largest int
+	// maxTargets is the largest number of heartbeats that one VM has sent in a round.
+	maxTargets int
 }
 
-func newPlain(n, domains int) *plain {
-	p := &plain{now: start, states: make(map[string]*State), down: make(map[string]bool)}
+func newCluster(n, domains int) *cluster {
+	c := &cluster{now: start, states: make(map[string]*State), down: make(map[string]bool)}
 	for i := range n {
 		address := fmt.Sprintf("10.0.0.%d:1", i)
-		p.states[address] = New(Config{}, Node{
+		c.states[address] = New(Config{}, Node{
 			VM: fmt.Sprintf("vm%03d", i), Incarnation: 1, Ready: true,
 			FailureDomain: fmt.Sprintf("d%d", i%domains), PeerAddress: address,
 		})
-		p.states[address].SetSeeds([]string{"10.0.0.0:1", "10.0.0.1:1"})
+		c.states[address].SetSeeds([]string{"10.0.0.0:1", "10.0.0.1:1"})
 	}
-	return p
+	return c
 }
 
-func (p *plain) round() {
-	p.now = p.now.Add(time.Second)
-	for _, address := range slices.Sorted(maps.Keys(p.states)) {
-		s := p.states[address]
-		if p.down[address] {
+func (c *cluster) round() {
+	c.now = c.now.Add(time.Second)
+	for _, address := range slices.Sorted(maps.Keys(c.states)) {
+		s := c.states[address]
+		if c.down[address] {
 			continue
 		}
 		s.UpdateSelf(func(*Node) {})
-		s.Tick(p.now)
-		targets := s.Targets(p.now)
-		p.largest = max(p.largest, len(targets))
+		s.Tick(c.now)
+		targets := s.Targets(c.now)
+		c.maxTargets = max(c.maxTargets, len(targets))
 		for _, target := range targets {
-			peer, known := p.states[target]
-			if !known || p.down[target] {
+			peer, known := c.states[target]
+			if !known || c.down[target] {
 				continue
 			}
-			peer.Receive(p.now, s.Self(), s.Rumors())
+			peer.Receive(c.now, s.Self(), s.Rumors())
 			peer.UpdateSelf(func(*Node) {})
-			s.Receive(p.now, peer.Self(), peer.Rumors())
+			s.Receive(c.now, peer.Self(), peer.Rumors())
 		}
 	}
 }
 
-func TestSmallFleetHearsEveryVMDirectly(t *testing.T) {
-	p := newPlain(7, 4)
+func TestSmallFleetExchangesHeartbeatsWithEveryVM(t *testing.T) {
+	c := newCluster(7, 4)
 	for range 20 {
-		p.round()
+		c.round()
 	}
-	for _, s := range p.states {
-		v := s.View(p.now)
+	for _, s := range c.states {
+		v := s.View(c.now)
 		require.Len(t, v.Healthy(), 7)
-		require.Equal(t, 6, v.PartnersHeard)
-		require.Equal(t, 6, v.PartnersKnown)
+		require.Equal(t, 6, v.PartnersAlive)
+		require.Equal(t, 6, v.PartnersTotal)
 	}
 }
 
-// A VM dies without a word. Callers who are still given its address run into a
-// timeout, so the others must stop naming it after a few seconds.
-func TestDeadVMLeavesTheAnswers(t *testing.T) {
-	p := newPlain(7, 4)
+// A VM dies without announcing that it leaves. Callers that are given its address run
+// into a timeout, so the other VMs must stop listing it as healthy within seconds.
+func TestDeadVMIsNotListedAsHealthy(t *testing.T) {
+	c := newCluster(7, 4)
 	for range 20 {
-		p.round()
+		c.round()
 	}
-	p.down["10.0.0.3:1"] = true
+	c.down["10.0.0.3:1"] = true
 	for range 5 {
-		p.round()
+		c.round()
 	}
-	for address, s := range p.states {
-		if !p.down[address] {
-			require.Len(t, s.View(p.now).Healthy(), 6)
+	for address, s := range c.states {
+		if !c.down[address] {
+			require.Len(t, s.View(c.now).Healthy(), 6)
 		}
 	}
-	require.False(t, p.states["10.0.0.3:1"].View(p.now).HearsMajority(), "the cut-off VM must notice")
+	require.False(t, c.states["10.0.0.3:1"].View(c.now).HasPartnerMajority(), "the partitioned VM must detect that it has lost its partners")
 }
 
-// Each VM's number of heartbeats must not grow with the fleet, or a large fleet
-// spends its time on itself.
-func TestCostDoesNotGrowWithTheFleet(t *testing.T) {
-	p := newPlain(120, 6)
+// The number of heartbeats per VM must not grow with the fleet, or a large fleet would
+// spend its time on heartbeats.
+func TestHeartbeatsDoNotGrowWithFleet(t *testing.T) {
+	c := newCluster(120, 6)
 	for range 150 {
-		p.round()
+		c.round()
 	}
-	require.LessOrEqual(t, p.largest, DefaultPartners+extraTargets)
-	for _, s := range p.states {
-		require.Equal(t, 120, len(s.View(p.now).Healthy()))
+	require.LessOrEqual(t, c.maxTargets, DefaultPartners+extraTargets)
+	for _, s := range c.states {
+		require.Equal(t, 120, len(s.View(c.now).Healthy()))
 	}
-	p.down["10.0.0.50:1"] = true
+	c.down["10.0.0.50:1"] = true
 	for range 25 {
-		p.round()
+		c.round()
 	}
-	for address, s := range p.states {
-		if !p.down[address] {
-			require.Equal(t, 119, len(s.View(p.now).Healthy()), "the word that its partners miss a VM must reach all")
+	for address, s := range c.states {
+		if !c.down[address] {
+			require.Equal(t, 119, len(s.View(c.now).Healthy()), "all VMs must learn that the dead VM's partners receive no reports from it")
 		}
 	}
 }
 
-// A report of an old process arrives after its VM restarted. Were it believed,
-// the new process would seem to have the old one's state.
+// A report of an old process arrives after its VM has restarted. If it were applied, the
+// new process would seem to have the old one's state.
 func TestOldIncarnationIsIgnored(t *testing.T) {
 	s := New(Config{}, Node{VM: "a"})
 	s.Receive(start, Node{VM: "b", Incarnation: 2, Sequence: 1, Ready: true}, nil)
@@ -131,9 +131,10 @@
 	}
 }
 
-// A withdrawal is pushed past the key-value service and misses a VM. Its version
-// is no lower than the others', so that only the sums tell.
-func TestMissedWithdrawalsAreNoticed(t *testing.T) {
+// A withdrawal that is pushed to VMs without the key-value service does not reach one of
+// them. That VM's configuration version is no lower than the others', so only the counts
+// and sums of withdrawn keys show the difference.
+func TestMissedWithdrawalsAreDetected(t *testing.T) {
 	view := &View{Self: Node{VM: "self", ConfigVersion: 5, Withdrawn: 2, WithdrawnSum: 7}}
 	for _, c := range []struct {
 		name  string
@@ -149,6 +150,6 @@
 	} {
 		c.other.VM = "other"
 		view.Members = []Member{{Node: c.other}}
-		require.Equal(t, c.want, view.MissedWithdrawals(), c.name)
+		require.Equal(t, c.want, view.VMWithMissedWithdrawals(), c.name)
 	}
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// View is an immutable picture of the fleet as one VM sees it.
+// View is an immutable snapshot of the fleet as seen by one VM.
 type View struct {
-	// At is when the view was made.
+	// At is when the view was taken.
 	At time.Time
 	// Self is the local VM's latest report.
 	Self Node
-	// Members holds the other VMs, sorted by ID. VMs that are gone stay listed
-	// until they are forgotten.
+	// Members holds the other VMs, sorted by ID. VMs that are gone stay listed until
+	// State.Tick removes them.
 	Members []Member
-	// PartnersKnown is the number of heartbeat partners at last knowledge.
-	PartnersKnown int
-	// PartnersHeard is how many of them were heard directly of late.
-	PartnersHeard int
+	// PartnersTotal is the number of heartbeat partners in the view.
+	PartnersTotal int
+	// PartnersAlive is the number of partners from which a new report arrived directly
+	// within Config.SuspectAfter.
+	PartnersAlive int
 }
 
-// Healthy returns the VMs that callers may be sent to: those heard, ready and
-// not leaving, the local VM included.
+// Healthy returns the VMs that callers may be sent to: those that are alive, ready and
+// not leaving, including the local VM.
 func (v *View) Healthy() []Node {
 	var nodes []Node
 	if v.Self.Ready && !v.Self.Leaving {
@@ -32,7 +33,7 @@
 	return nodes
 }
 
-// Lookup returns the member with this VM ID.
+// Lookup returns the member with the given VM ID, and whether there is one.
 func (v *View) Lookup(vm string) (Member, bool) {
 	for _, m := range v.Members {
 		if m.VM == vm {
@@ -42,8 +43,9 @@
 	return Member{}, false
 }
 
-// NewestConfigVersion returns the highest configuration version that any VM
-// has reported, and a VM that reported it. The VM is empty if it is the local one.
+// NewestConfigVersion returns the highest configuration version that a VM that is not
+// gone has reported, and such a VM. vm is empty if no VM reports a higher version than
+// the local one.
 func (v *View) NewestConfigVersion() (version int64, vm string) {
 	version = v.Self.ConfigVersion
 	for _, m := range v.Members {
@@ -54,10 +56,10 @@
 	return version, vm
 }
 
-// MissedWithdrawals returns a VM that knows of withdrawn keys that the local one
-// may not know of although its configuration version is no lower. It is empty if
-// there is none.
-func (v *View) MissedWithdrawals() (vm string) {
+// VMWithMissedWithdrawals returns a VM that may have withdrawn keys that the local VM is
+// missing although the local configuration version is no lower. vm is empty if there is
+// none.
+func (v *View) VMWithMissedWithdrawals() (vm string) {
 	for _, m := range v.Members {
 		missed := m.Withdrawn >= v.Self.Withdrawn && m.WithdrawnSum != v.Self.WithdrawnSum
 		if m.Status != Gone && missed && m.ConfigVersion <= v.Self.ConfigVersion {
@@ -67,8 +69,8 @@
 	return ""
 }
 
-// HearsMajority reports whether more than half of the partners were heard of
-// late. A VM without partners hears no majority.
-func (v *View) HearsMajority() bool {
-	return 2*v.PartnersHeard > v.PartnersKnown
+// HasPartnerMajority reports whether more than half of the partners are alive by
+// PartnersAlive. It is false for a VM without partners.
+func (v *View) HasPartnerMajority() bool {
+	return 2*v.PartnersAlive > v.PartnersTotal
 }
