--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -12,65 +12,69 @@
 )
 
 const (
-	// tick is how often deadlines, new fleets and heartbeats are looked at.
-	tick = 20 * time.Millisecond
-	// replicaWait is how long a request waits while no upstream has its item.
-	replicaWait = 2 * time.Second
-	// events is the length of the channel into the owning goroutine.
-	events = 256
+	// refreshInterval is how often deadlines, the fleet and heartbeats are checked.
+	refreshInterval = 20 * time.Millisecond
+	// replicaTimeout is how long a request stays queued while no upstream serves its
+	// item.
+	replicaTimeout = 2 * time.Second
+	// eventBuffer is the capacity of the channel into the owning goroutine.
+	eventBuffer = 256
 )
 
 // Options configures a Dispatcher.
 type Options struct {
-	// Route configures the choice of upstreams.
+	// Route configures the selection of upstreams.
 	Route route.Options
 	// Admit configures the queue.
 	Admit admit.Options
 	// Fleet returns the upstreams. It must not block.
 	Fleet func() *route.Fleet
-	// Teams returns the teams in force, for their weights. It must not block.
+	// Teams returns the teams of the active configuration, for their weights. It
+	// must not block.
 	Teams func() []document.Team
-	// Peers returns what the heartbeats tell. It must not block. Nil means that
-	// there are no other VMs.
+	// Peers returns the state of the other VMs from their heartbeats. It must not
+	// block. Nil means that there are no other VMs.
 	Peers func() Peers
-	// Borrower asks other VMs for parts of limits. It may be nil.
+	// Borrower requests shares of limits from other VMs. It may be nil.
 	Borrower Borrower
-	// Seed starts the random draws.
+	// Seed seeds the random number generator.
 	Seed uint64
 }
 
-// Dispatcher owns a queue and a choice of upstreams. Run makes it work.
+// Dispatcher assigns requests from its queue to upstreams. It processes requests
+// only while Run executes.
 type Dispatcher struct {
-	options Options
-	queue   *admit.Queue
-	router  *route.Router
-	rng     *rand.Rand
-	fleet   *route.Fleet
-	waiting map[uint64]*waiter
-	classes map[string]*Request
-	pace    map[route.Item]time.Duration
-	parts   *route.Parts
-	// short holds the limits of the items of which this VM has too small a part.
-	short map[route.Item]int
-	// asked holds when other VMs were last asked for a part of an item's limit.
-	asked  map[route.Item]time.Time
-	nextID uint64
-	peers  Peers
-	stats  Stats
-	events chan any
-	done   chan struct{}
-	public atomic.Pointer[Stats]
+	options         Options
+	queue           *admit.Queue
+	router          *route.Router
+	rng             *rand.Rand
+	fleet           *route.Fleet
+	waiting         map[uint64]*waiter
+	classes         map[string]*Request
+	averageRunTimes map[route.Item]time.Duration
+	parts           *route.Parts
+	// exhaustedLimits holds the limit of each item whose local share was found used
+	// up since the last refresh.
+	exhaustedLimits map[route.Item]int
+	// lastBorrow holds the time of the last borrow request for each item.
+	lastBorrow map[route.Item]time.Time
+	nextID     uint64
+	peers      Peers
+	stats      Stats
+	events     chan any
+	done       chan struct{}
+	published  atomic.Pointer[Stats]
 }
 
-// waiter is a request in the queue.
+// waiter is a queued request and the channel on which its caller waits.
 type waiter struct {
-	request *Request
-	class   string
-	since   time.Time
-	reply   chan result
+	request  *Request
+	class    string
+	queuedAt time.Time
+	reply    chan result
 }
 
-// result ends the wait of a request.
+// result is sent to the caller of Acquire: either a grant or an error.
 type result struct {
 	grant *Grant
 	err   error
@@ -94,36 +98,36 @@
 	}
 )
 
-// New returns a dispatcher.
+// New returns a dispatcher. Run must be called for Acquire to make progress.
 func New(o Options) *Dispatcher {
 	if o.Peers == nil {
 		o.Peers = func() Peers { return Peers{VMs: 1} }
 	}
 	d := &Dispatcher{
-		options: o,
-		queue:   admit.New(o.Admit),
-		router:  route.New(o.Route),
-		rng:     rand.New(rand.NewPCG(o.Seed, o.Seed)),
-		waiting: make(map[uint64]*waiter),
-		classes: make(map[string]*Request),
-		pace:    make(map[route.Item]time.Duration),
-		parts:   route.NewParts(),
-		short:   make(map[route.Item]int),
-		asked:   make(map[route.Item]time.Time),
-		events:  make(chan any, events),
-		done:    make(chan struct{}),
-		stats:   Stats{Served: make(map[string]int64), Refused: make(map[string]int64)},
+		options:         o,
+		queue:           admit.New(o.Admit),
+		router:          route.New(o.Route),
+		rng:             rand.New(rand.NewPCG(o.Seed, o.Seed)),
+		waiting:         make(map[uint64]*waiter),
+		classes:         make(map[string]*Request),
+		averageRunTimes: make(map[route.Item]time.Duration),
+		parts:           route.NewParts(),
+		exhaustedLimits: make(map[route.Item]int),
+		lastBorrow:      make(map[route.Item]time.Time),
+		events:          make(chan any, eventBuffer),
+		done:            make(chan struct{}),
+		stats:           Stats{Served: make(map[string]int64), Refused: make(map[string]int64)},
 	}
 	d.publish()
 	return d
 }
 
-// Stats returns the newest state.
-func (d *Dispatcher) Stats() *Stats { return d.public.Load() }
+// Stats returns the most recently published statistics.
+func (d *Dispatcher) Stats() *Stats { return d.published.Load() }
 
-// Acquire waits for an upstream. Errors are a *admit.Refusal, ErrNoReplica,
-// ErrStopped, what Check returned, or ctx's; after each of them the request was
-// not run. A grant must be finished.
+// Acquire waits for an upstream. The error is a *admit.Refusal, ErrNoReplica,
+// ErrStopped, the error of Request.Check, or the error of ctx; in all of these cases
+// the request was not run. The caller must call Finish on the grant.
 func (d *Dispatcher) Acquire(ctx context.Context, r Request) (*Grant, error) {
 	reply := make(chan result, 1)
 	id := make(chan uint64, 1)
@@ -136,27 +140,27 @@
 	case <-d.done:
 		return nil, ErrStopped
 	case <-ctx.Done():
-		d.giveUp(reply, id)
+		d.cancelQueued(reply, id)
 		return nil, ctx.Err()
 	}
 }
 
-// giveUp takes a request back whose caller has gone. If it was granted in the
-// same moment, the grant is returned unused.
-func (d *Dispatcher) giveUp(reply chan result, id chan uint64) {
-	var queued uint64
+// cancelQueued removes a request whose context has ended from the queue. If the
+// request was granted concurrently, the unused grant is finished.
+func (d *Dispatcher) cancelQueued(reply chan result, id chan uint64) {
+	var requestID uint64
 	select {
-	case queued = <-id:
+	case requestID = <-id:
 	case <-d.done:
 		return
 	}
 	removed := make(chan bool, 1)
-	if !d.send(withdraw{id: queued, removed: removed}) {
+	if !d.send(withdraw{id: requestID, removed: removed}) {
 		return
 	}
 	select {
-	case gone := <-removed:
-		if gone {
+	case ok := <-removed:
+		if ok {
 			return
 		}
 	case <-d.done:
@@ -167,7 +171,8 @@
 	}
 }
 
-// send gives a message to the owner. It reports false once that has stopped.
+// send passes a message to the owning goroutine. It returns false if that goroutine
+// has stopped.
 func (d *Dispatcher) send(message any) bool {
 	select {
 	case <-d.done:
@@ -182,11 +187,11 @@
 	}
 }
 
-// Run owns the state until ctx ends. Whatever is queued then is refused with
-// ErrStopped.
+// Run processes requests until ctx ends and returns the error of ctx. Requests that
+// are still queued then fail with ErrStopped.
 func (d *Dispatcher) Run(ctx context.Context) error {
 	defer close(d.done)
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
 	d.refresh(ctx)
 	for {
@@ -198,6 +203,6 @@
 		case message := <-d.events:
 			d.handle(message, time.Now())
 		}
-		d.pump(time.Now())
+		d.dispatchQueued(time.Now())
 	}
 }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -20,12 +20,13 @@
 	adapter = route.Item{Model: "m", Adapter: "a"}
 )
 
-// start runs a dispatcher before engines that take one request each.
-func start(t testing.TB, engines int, limit int) *Dispatcher {
+// startDispatcher runs a dispatcher for a number of engines that accept limit requests
+// each.
+func startDispatcher(t testing.TB, engines int, limit int) *Dispatcher {
 	return startVM(t, engines, limit, nil, nil)
 }
 
-// startVM runs a dispatcher that knows of other VMs.
+// startVM runs a dispatcher with the given peers and borrower.
 func startVM(t testing.TB, engines, limit int, peers func() Peers, b Borrower) *Dispatcher {
 	fleet := &route.Fleet{}
 	for i := range engines {
@@ -42,14 +43,14 @@
 		Teams: func() []document.Team { return []document.Team{{Name: "x", Weight: 1}, {Name: "y", Weight: 1}} },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		_ = d.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-stopped
 	})
 	return d
 }
@@ -58,11 +59,11 @@
 	return Request{Team: team, Item: item, Version: "v1", Tokens: 10, Bytes: 1, Deadline: time.Now().Add(wait)}
 }
 
-// A request waits for an engine while its key is withdrawn. It must not reach the
-// engine any more, and its caller must be told so.
-func TestKeyWithdrawnInTheQueue(t *testing.T) {
+// A key is withdrawn while its request is queued. The request must not reach an
+// engine, and the caller must receive the error of the check.
+func TestKeyWithdrawnWhileQueued(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := start(t, 1, 1)
+		d := startDispatcher(t, 1, 1)
 		first, err := d.Acquire(t.Context(), request("x", time.Minute))
 		require.NoError(t, err)
 		withdrawn := errors.New("withdrawn")
@@ -74,22 +75,23 @@
 			_, refused = d.Acquire(t.Context(), r)
 		})
 		synctest.Wait()
-		time.Sleep(2 * tick)
+		time.Sleep(2 * refreshInterval)
 		require.Equal(t, 1, d.Stats().Queued["x"])
 		first.Finish(true, 12)
 		wg.Wait()
 		require.ErrorIs(t, refused, withdrawn)
-		time.Sleep(2 * tick)
+		time.Sleep(2 * refreshInterval)
 		require.Equal(t, 0, d.Stats().InFlight)
 		require.Equal(t, int64(12), d.Stats().Served["x"])
 	})
 }
 
-// The engines are busy for longer than a caller can wait. He learns it when it
-// becomes certain and not when his own timeout strikes.
+// The engines stay busy for longer than the caller can wait. The request must be
+// refused as soon as its deadline can no longer be met (after 3 s, with a deadline of 5 s
+// and a run time of 2 s), and not only at the deadline.
 func TestRefusedWhenTheDeadlineCannotBeMet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := start(t, 1, 1)
+		d := startDispatcher(t, 1, 1)
 		_, err := d.Acquire(t.Context(), request("x", time.Minute))
 		require.NoError(t, err)
 		r := request("x", 5*time.Second)
@@ -101,11 +103,11 @@
 	})
 }
 
-// Callers go away while they wait, some of them in the very moment of the grant.
-// An engine's place that nobody gives back would be lost for ever.
-func TestCallersThatGoAwayLeaveNothingBehind(t *testing.T) {
+// Callers cancel while they wait, some of them concurrently with the grant. A grant
+// that is not finished would occupy an engine's capacity for ever.
+func TestCancelledAcquiresReleaseCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := start(t, 1, 1)
+		d := startDispatcher(t, 1, 1)
 		for i := range 50 {
 			holder, err := d.Acquire(t.Context(), request("x", time.Minute))
 			require.NoError(t, err)
@@ -127,17 +129,17 @@
 			wg.Wait()
 			cancel()
 		}
-		time.Sleep(2 * tick)
+		time.Sleep(2 * refreshInterval)
 		require.Equal(t, 0, d.Stats().InFlight)
 		require.Empty(t, d.Stats().Queued)
 	})
 }
 
-// No engine has the model. The caller is told after a short wait, since it may be
-// moving, and not at his deadline.
+// No engine serves the model. The request must fail after replicaTimeout, which leaves
+// time for a model that is being moved, and not only at its deadline.
 func TestNoReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := start(t, 1, 1)
+		d := startDispatcher(t, 1, 1)
 		r := request("x", time.Hour)
 		r.Item = route.Item{Model: "elsewhere"}
 		_, err := d.Acquire(t.Context(), r)
@@ -154,23 +156,23 @@
 	require.ErrorIs(t, err, ErrStopped)
 }
 
-// other asks a dispatcher in the same process.
-type other struct{ *Dispatcher }
+// localBorrower borrows from a dispatcher in the same process.
+type localBorrower struct{ *Dispatcher }
 
 // Borrow implements Borrower.
-func (o *other) Borrow(ctx context.Context, _ int, i route.Item, limit, want int) int {
+func (o *localBorrower) Borrow(ctx context.Context, _ int, i route.Item, limit, want int) int {
 	return o.Lend(ctx, i, limit, want)
 }
 
-// All callers of an adapter are at one of two VMs. It must come to use more than its
-// own half of the limit, and both together never more than the whole.
-func TestPartsOfALimitAreBorrowed(t *testing.T) {
+// All callers of an adapter use one of two VMs. That VM must borrow more than its own
+// half of the limit, and both VMs together must never exceed the limit.
+func TestSharesOfALimitAreBorrowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 6
-		lender := &other{}
-		one := startVM(t, 1, 64, func() Peers { return Peers{VMs: 2, Rank: 0} }, lender)
+		lender := &localBorrower{}
+		busy := startVM(t, 1, 64, func() Peers { return Peers{VMs: 2, Rank: 0} }, lender)
 		lender.Dispatcher = startVM(t, 1, 64, func() Peers { return Peers{VMs: 2, Rank: 1} }, nil)
-		ask := func(d *Dispatcher, wait time.Duration) bool {
+		acquire := func(d *Dispatcher, wait time.Duration) bool {
 			r := request("x", wait)
 			r.Item, r.MaxInFlight = adapter, limit
 			_, err := d.Acquire(t.Context(), r)
@@ -178,12 +180,12 @@
 		}
 		granted := 0
 		for range 8 {
-			if ask(one, 300*time.Millisecond) {
+			if acquire(busy, 300*time.Millisecond) {
 				granted++
 			}
 		}
 		require.Greater(t, granted, limit/2)
-		for ask(lender.Dispatcher, 10*time.Millisecond) {
+		for acquire(lender.Dispatcher, 10*time.Millisecond) {
 			granted++
 		}
 		require.LessOrEqual(t, granted, limit)
@@ -191,7 +193,7 @@
 }
 
 func BenchmarkAcquireFinish(b *testing.B) {
-	d := start(b, 20, 1<<20)
+	d := startDispatcher(b, 20, 1<<20)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
@@ -207,11 +209,11 @@
 	})
 }
 
-// Requests for a model usually take ten seconds. One that allows a single second is
-// refused when it comes, and not after it has waited and run in vain.
-func TestRunTimeIsLearned(t *testing.T) {
+// Requests for a model have taken ten seconds so far. A request with a deadline of one
+// second must be refused on arrival, and not after it has occupied an engine in vain.
+func TestRunTimeIsEstimatedFromEarlierRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := start(t, 1, 1)
+		d := startDispatcher(t, 1, 1)
 		g, err := d.Acquire(t.Context(), request("x", time.Minute))
 		require.NoError(t, err)
 		time.Sleep(10 * time.Second)
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,4 +1,4 @@
-// Package dispatch brings requests and upstreams together. One goroutine owns the
-// queue of package admit and the choice of package route; the goroutines that serve
-// callers ask it for an upstream and tell it how the request ended.
+// Package dispatch assigns queued requests to upstreams. One goroutine owns the
+// queue of package admit and the router of package route; the goroutines that serve
+// callers request an upstream from it and report back how the request ended.
 package dispatch
--- a/internal/dispatch/owner.go
+++ b/internal/dispatch/owner.go
@@ -11,38 +11,39 @@
 	"github.com/chestnutarch/chestnutarch/internal/route"
 )
 
-// handle takes one message in.
+// handle processes one message in the owning goroutine.
 func (d *Dispatcher) handle(message any, now time.Time) {
 	switch m := message.(type) {
 	case acquire:
-		d.offer(m, now)
+		d.enqueue(m, now)
 	case withdraw:
 		m.removed <- d.remove(m.id)
 	case finish:
 		d.finish(m, now)
 	case lend:
-		d.lendPart(m, now)
+		d.lend(m, now)
 	case borrowed:
-		d.parts.Took(m.item, m.n, m.asked)
+		d.parts.Took(m.item, m.n, m.requestedAt)
 	}
 }
 
-func (d *Dispatcher) offer(m acquire, now time.Time) {
+func (d *Dispatcher) enqueue(m acquire, now time.Time) {
 	d.nextID++
 	id := d.nextID
 	m.id <- id
 	class := m.request.class()
-	w := &waiter{request: m.request, class: class, since: now, reply: m.reply}
+	w := &waiter{request: m.request, class: class, queuedAt: now, reply: m.reply}
 	if len(m.request.Avoid) > 0 && errors.Is(d.router.Available(m.request.query(0), now), route.ErrNoReplica) {
-		// Waiting would not help: the others have failed the request.
+		// Waiting would not help: every upstream that serves the item has already
+		// failed the request.
 		d.refuse(w, errors.WithStack(ErrNoReplica))
 		return
 	}
 	evicted, err := d.queue.Offer(admit.Request{
 		ID: id, Team: m.request.Team, Class: class, Tokens: m.request.Tokens,
-		Bytes: m.request.Bytes, Deadline: m.request.Deadline, Run: d.run(m.request),
+		Bytes: m.request.Bytes, Deadline: m.request.Deadline, Run: d.minRunTime(m.request),
 	}, now)
-	d.refuseAll(evicted)
+	d.refuseEach(evicted)
 	if err != nil {
 		d.refuse(w, err)
 		return
@@ -52,35 +53,36 @@
 }
 
 const (
-	// paceKept is how much of what is known of an item's run time a new run leaves.
-	paceKept = 0.9
-	// paceTrust is the part of the usual run time that every run is taken to need.
-	// Answers differ in length, and one that could still be given must not be
-	// refused.
-	paceTrust = 0.3
-	// maxItems bounds the items whose run time is remembered.
-	maxItems = 4096
+	// runTimeAverageWeight is the weight of the previous value in the exponential
+	// moving average of an item's run time.
+	runTimeAverageWeight = 0.9
+	// minRunTimeShare is the fraction of an item's average run time that is assumed
+	// as the minimum for every request. It is well below 1 because answers differ in
+	// length, and a request that could still be answered must not be refused.
+	minRunTimeShare = 0.3
+	// maxRunTimes bounds the number of items whose average run time is kept.
+	maxRunTimes = 4096
 )
 
-// run returns how long a request takes at least.
-func (d *Dispatcher) run(r *Request) time.Duration {
+// minRunTime returns the minimum run time that is assumed for a request.
+func (d *Dispatcher) minRunTime(r *Request) time.Duration {
 	if r.Run > 0 {
 		return r.Run
 	}
-	return time.Duration(paceTrust * float64(d.pace[r.Item]))
+	return time.Duration(minRunTimeShare * float64(d.averageRunTimes[r.Item]))
 }
 
-// learn notes how long a run took.
-func (d *Dispatcher) learn(i route.Item, took time.Duration) {
-	usual, known := d.pace[i]
+// recordRunTime adds a measured run time to the moving average of an item.
+func (d *Dispatcher) recordRunTime(i route.Item, took time.Duration) {
+	average, known := d.averageRunTimes[i]
 	if known {
-		d.pace[i] = time.Duration(paceKept*float64(usual) + (1-paceKept)*float64(took))
+		d.averageRunTimes[i] = time.Duration(runTimeAverageWeight*float64(average) + (1-runTimeAverageWeight)*float64(took))
 		return
 	}
-	if len(d.pace) >= maxItems {
-		clear(d.pace)
+	if len(d.averageRunTimes) >= maxRunTimes {
+		clear(d.averageRunTimes)
 	}
-	d.pace[i] = took
+	d.averageRunTimes[i] = took
 }
 
 func (d *Dispatcher) remove(id uint64) bool {
@@ -97,14 +99,14 @@
 	d.router.Finished(m.grant.Upstream.Name, r.Item, m.healthy, now)
 	d.queue.Served(r.Team, m.tokens-r.Tokens)
 	if m.healthy && m.tokens > 0 {
-		d.learn(r.Item, now.Sub(m.grant.since))
+		d.recordRunTime(r.Item, now.Sub(m.grant.dispatchedAt))
 	}
 	d.stats.Served[r.Team] += m.tokens
 	d.stats.InFlight--
 }
 
-// refuseAll tells the callers of requests that were given up on.
-func (d *Dispatcher) refuseAll(refusals []*admit.Refusal) {
+// refuseEach returns the refusals of the queue to the callers of the requests.
+func (d *Dispatcher) refuseEach(refusals []*admit.Refusal) {
 	for _, r := range refusals {
 		w := d.waiting[r.Request.ID]
 		if w == nil {
@@ -120,7 +122,7 @@
 	w.reply <- result{err: err}
 }
 
-// cause names a refusal in the statistics.
+// cause returns the name of a refusal in the statistics.
 func cause(err error) string {
 	switch {
 	case errors.Is(err, admit.ErrDeadline):
@@ -133,12 +135,13 @@
 	return causeCheck
 }
 
-// pump dispatches all that can be dispatched now.
-func (d *Dispatcher) pump(now time.Time) {
+// dispatchQueued refuses the requests whose deadline can no longer be met and
+// dispatches those for which an upstream is available.
+func (d *Dispatcher) dispatchQueued(now time.Time) {
 	if d.queue.Len() == 0 {
 		return
 	}
-	d.refuseAll(d.queue.Expire(now))
+	d.refuseEach(d.queue.Expire(now))
 	for {
 		r, ok := d.queue.Next(now, func(class string) bool { return d.canRun(class, now) })
 		if !ok {
@@ -150,26 +153,28 @@
 	}
 }
 
-// canRun reports whether some upstream could take a request of a class.
+// canRun reports whether an upstream is available for the requests of a class. It
+// records the item's limit if only this VM's share of it is used up.
 func (d *Dispatcher) canRun(class string, now time.Time) bool {
 	r := d.classes[class]
-	err := d.router.Available(r.query(d.part(r, now)), now)
+	err := d.router.Available(r.query(d.localLimit(r, now)), now)
 	if errors.Is(err, route.ErrPartUsed) {
-		d.short[r.Item] = r.MaxInFlight
+		d.exhaustedLimits[r.Item] = r.MaxInFlight
 	}
 	return err == nil
 }
 
-// part returns this VM's part of an item's limit.
-func (d *Dispatcher) part(r *Request, now time.Time) int {
+// localLimit returns this VM's share of an item's limit, or 0 if the item has none.
+func (d *Dispatcher) localLimit(r *Request, now time.Time) int {
 	if r.MaxInFlight <= 0 {
 		return 0
 	}
 	return d.parts.Part(r.Item, r.MaxInFlight, now)
 }
 
-// dispatch gives a request to an upstream. Its key is checked now: one that was
-// withdrawn while the request waited must not reach an upstream any more.
+// dispatch assigns a request to an upstream. The request's key is checked at this
+// point because a request whose key was withdrawn while it was queued must not reach
+// an upstream.
 func (d *Dispatcher) dispatch(w *waiter, now time.Time) {
 	r := w.request
 	if r.Check != nil {
@@ -179,7 +184,7 @@
 			return
 		}
 	}
-	upstream, err := d.router.Pick(r.query(d.part(r, now)), now, d.rng)
+	upstream, err := d.router.Pick(r.query(d.localLimit(r, now)), now, d.rng)
 	if err != nil {
 		d.queue.Served(r.Team, -r.Tokens)
 		d.refuse(w, errors.Wrap(ErrNoReplica, err.Error()))
@@ -187,11 +192,12 @@
 	}
 	d.router.Started(upstream.Name, r.Item, now)
 	d.stats.InFlight++
-	w.reply <- result{grant: &Grant{Upstream: upstream, dispatcher: d, request: r, since: now}}
+	w.reply <- result{grant: &Grant{Upstream: upstream, dispatcher: d, request: r, dispatchedAt: now}}
 }
 
-// refresh takes in what other parts of the process have published, gives up on
-// requests whose item no upstream has had for a while, and borrows what is short.
+// refresh applies the newest fleet, team weights and heartbeats, refuses requests
+// whose item no upstream has served for replicaTimeout, and borrows shares of
+// exhausted limits.
 func (d *Dispatcher) refresh(ctx context.Context) {
 	now := time.Now()
 	if f := d.options.Fleet(); f != d.fleet {
@@ -201,20 +207,21 @@
 	for _, t := range d.options.Teams() {
 		d.queue.SetWeight(t.Name, t.Weight)
 	}
-	d.heartbeats()
-	d.giveUpMissing(now)
+	d.applyHeartbeats()
+	d.refuseUnserved(now)
 	d.borrow(ctx, now)
 	d.publish()
 }
 
-// heartbeats takes in what the other VMs have served since the last time. A
-// count that went down is another set of VMs: it becomes the new base.
-func (d *Dispatcher) heartbeats() {
+// applyHeartbeats adds the tokens that the other VMs have served since the last call
+// to the queue. A count that has decreased means that the set of VMs has changed; it
+// becomes the new baseline.
+func (d *Dispatcher) applyHeartbeats() {
 	peers := d.options.Peers()
 	served := make(map[string]int64, len(peers.Served))
 	for team, n := range peers.Served {
-		if before, known := d.peers.Served[team]; known && n > before {
-			served[team] = n - before
+		if previous, known := d.peers.Served[team]; known && n > previous {
+			served[team] = n - previous
 		}
 	}
 	if len(served) > 0 {
@@ -226,13 +233,13 @@
 	d.router.SetSpread(min(float64(peers.VMs), float64(own+peers.InFlight)/float64(own)))
 }
 
-// giveUpMissing refuses the requests that have waited long enough for an item
-// that no upstream has, and forgets the classes of which nothing waits.
-func (d *Dispatcher) giveUpMissing(now time.Time) {
-	used := make(map[string]*Request, len(d.classes))
+// refuseUnserved refuses the requests that have been queued for replicaTimeout and
+// whose item no upstream serves, and drops the classes that have no queued request.
+func (d *Dispatcher) refuseUnserved(now time.Time) {
+	classes := make(map[string]*Request, len(d.classes))
 	for id, w := range d.waiting {
-		used[w.class] = w.request
-		if now.Sub(w.since) < replicaWait {
+		classes[w.class] = w.request
+		if now.Sub(w.queuedAt) < replicaTimeout {
 			continue
 		}
 		err := d.router.Available(w.request.query(0), now)
@@ -242,10 +249,10 @@
 		d.remove(id)
 		d.refuse(w, errors.WithStack(ErrNoReplica))
 	}
-	d.classes = used
+	d.classes = classes
 }
 
-// publish makes the state visible to other goroutines.
+// publish stores a copy of the statistics for readers in other goroutines.
 func (d *Dispatcher) publish() {
 	s := d.stats
 	s.Served = maps.Clone(s.Served)
@@ -254,5 +261,5 @@
 	for _, w := range d.waiting {
 		s.Queued[w.request.Team]++
 	}
-	d.public.Store(&s)
+	d.published.Store(&s)
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -11,65 +11,65 @@
 )
 
 var (
-	// ErrStopped means that the dispatcher no longer runs. The request was not
-	// run.
-	ErrStopped = errors.New("dispatch: stopped")
-	// ErrNoReplica means that no upstream had the item for as long as a request
-	// waits for one. The request was not run.
+	// ErrStopped means that the dispatcher has stopped. The request was not run.
+	ErrStopped = errors.New("dispatch: dispatcher stopped")
+	// ErrNoReplica means that no upstream served the item within the time that a
+	// request waits for one. The request was not run.
 	ErrNoReplica = errors.New("dispatch: no upstream serves the item")
 )
 
 // Request is one request that needs an upstream.
 type Request struct {
-	// Team is whose it is.
+	// Team is the team that sent the request.
 	Team string
-	// Item is what it asks for.
+	// Item is the requested item.
 	Item route.Item
-	// Version is the version of the item in force.
+	// Version is the item's version in the active configuration.
 	Version string
-	// Prefix is the prompt's, or route.NoPrefix.
+	// Prefix identifies the prompt's prefix, or is route.NoPrefix.
 	Prefix route.Prefix
-	// MaxInFlight is the item's limit over all VMs, or 0.
+	// MaxInFlight is the item's limit on requests in flight over all VMs. 0 means no
+	// limit.
 	MaxInFlight int
-	// Tokens is what it is expected to cost.
+	// Tokens is the expected cost of the request.
 	Tokens int64
-	// Bytes is the memory that it holds.
+	// Bytes is the memory that the request occupies.
 	Bytes int64
-	// Deadline is when its answer has to be whole.
+	// Deadline is the time by which the answer must be complete.
 	Deadline time.Time
-	// Run is how long it takes at least. 0 leaves it to what earlier requests for
-	// the item took.
+	// Run is the minimum run time of the request. With 0 it is estimated from
+	// earlier requests for the item.
 	Run time.Duration
 	// Avoid names upstreams that have failed the request.
 	Avoid []string
-	// Check is asked in the moment of dispatch, after any time in the queue. An
-	// error refuses the request as not run. It must not block.
+	// Check is called at dispatch, after any time in the queue. If it returns an
+	// error, the request is refused as not run. It must not block.
 	Check func() error
 }
 
-// class groups the requests that the same upstreams can serve.
+// class returns a key that is equal for requests that the same upstreams can serve.
 func (r *Request) class() string {
 	parts := []string{r.Item.Model, r.Item.Adapter, r.Version, strconv.Itoa(r.MaxInFlight)}
 	return strings.Join(append(parts, r.Avoid...), "\x00")
 }
 
-func (r *Request) query(part int) route.Request {
-	return route.Request{Item: r.Item, Version: r.Version, Prefix: r.Prefix, Limited: r.MaxInFlight > 0, MaxInFlight: part, Avoid: r.Avoid}
+func (r *Request) query(localLimit int) route.Request {
+	return route.Request{Item: r.Item, Version: r.Version, Prefix: r.Prefix, Limited: r.MaxInFlight > 0, MaxInFlight: localLimit, Avoid: r.Avoid}
 }
 
-// Grant is leave to send one request to one upstream.
+// Grant permits sending one request to one upstream.
 type Grant struct {
-	// Upstream is where to send it.
+	// Upstream is the upstream to send the request to.
 	Upstream route.Engine
 
-	dispatcher *Dispatcher
-	request    *Request
-	since      time.Time
-	finished   bool
+	dispatcher   *Dispatcher
+	request      *Request
+	dispatchedAt time.Time
+	finished     bool
 }
 
-// Finish says how the request ended: whether the upstream did its part, and how
-// many tokens it took. Only the first call counts.
+// Finish reports the end of the request: whether the upstream behaved correctly, and
+// how many tokens the request used. Only the first call has an effect.
 func (g *Grant) Finish(healthy bool, tokens int64) {
 	if g.finished {
 		return
@@ -78,26 +78,26 @@
 	g.dispatcher.send(finish{grant: g, healthy: healthy, tokens: tokens})
 }
 
-// Peers is what the heartbeats tell of all VMs.
+// Peers is the state of the VMs as reported by heartbeats.
 type Peers struct {
-	// VMs is the number of VMs that serve, this one included.
+	// VMs is the number of VMs that serve requests, including this one.
 	VMs int
-	// Rank is this VM's place in the order of their names, from 0.
+	// Rank is this VM's index, from 0, among the VMs sorted by name.
 	Rank int
 	// InFlight is the number of requests in flight at the other VMs.
 	InFlight int
-	// Served counts the tokens by team that the other VMs have served, since
-	// whatever time.
+	// Served counts the tokens by team that the other VMs have served. The start of
+	// the count is arbitrary; only differences are used.
 	Served map[string]int64
 }
 
-// Stats is the state of a dispatcher. It is immutable.
+// Stats is a snapshot of a dispatcher's statistics. It is immutable.
 type Stats struct {
 	// Queued is the number of queued requests by team.
 	Queued map[string]int
 	// InFlight is the number of requests at upstreams.
 	InFlight int
-	// Served counts the tokens by team since the start.
+	// Served counts the tokens by team since the dispatcher was created.
 	Served map[string]int64
 	// Refused counts the refused requests by cause, one of Causes.
 	Refused map[string]int64
@@ -120,6 +120,6 @@
 	causeCheck     = "check"
 )
 
-// Causes lists the causes of a refusal. "check" stands for what Request.Check said,
-// such as a key that was withdrawn.
+// Causes lists the causes of a refusal. "check" stands for an error of Request.Check,
+// such as a withdrawn key.
 var Causes = []string{causeDeadline, causeFull, causeNoReplica, causeCheck}
--- a/internal/dispatch/shares.go
+++ b/internal/dispatch/shares.go
@@ -11,17 +11,18 @@
 	"github.com/chestnutarch/chestnutarch/internal/route"
 )
 
-// borrowPause is the least time between two questions for the same item.
-const borrowPause = 20 * time.Millisecond
+// borrowInterval is the minimum time between two borrow requests for the same item.
+const borrowInterval = 20 * time.Millisecond
 
-// Borrower asks other VMs for parts of a limit.
+// Borrower requests shares of a limit from other VMs.
 type Borrower interface {
-	// Borrow asks the VM at a place in the fleet's order and returns how many
-	// places it has lent. It may block for as long as a call to a VM may take.
+	// Borrow asks the VM with the given rank for up to want slots of the item's limit
+	// and returns how many it has lent. It may block for the duration of a call to
+	// another VM.
 	Borrow(ctx context.Context, rank int, i route.Item, limit, want int) int
 }
 
-// The messages about loans.
+// The messages about loans between VMs.
 type (
 	lend struct {
 		item        route.Item
@@ -29,14 +30,14 @@
 		lent        chan int
 	}
 	borrowed struct {
-		item  route.Item
-		n     int
-		asked time.Time
+		item        route.Item
+		n           int
+		requestedAt time.Time
 	}
 )
 
-// queued returns the number of requests that wait for an item.
-func (d *Dispatcher) queued(i route.Item) int {
+// queuedFor returns the number of queued requests for an item.
+func (d *Dispatcher) queuedFor(i route.Item) int {
 	n := 0
 	for _, w := range d.waiting {
 		if w.request.Item == i {
@@ -46,13 +47,13 @@
 	return n
 }
 
-// borrow asks one other VM for each item that is short. The answer comes back as a
-// message.
+// borrow sends one borrow request to a random other VM for each item whose local
+// share is exhausted. The response arrives as a borrowed message.
 func (d *Dispatcher) borrow(ctx context.Context, now time.Time) {
-	for i, limit := range d.short {
-		delete(d.short, i)
+	for i, limit := range d.exhaustedLimits {
+		delete(d.exhaustedLimits, i)
 		lenders := route.Lenders(limit, d.peers.VMs)
-		if d.options.Borrower == nil || now.Before(d.asked[i].Add(borrowPause)) || lenders < 1 {
+		if d.options.Borrower == nil || now.Before(d.lastBorrow[i].Add(borrowInterval)) || lenders < 1 {
 			continue
 		}
 		rank := d.rng.IntN(lenders)
@@ -62,16 +63,17 @@
 		if rank == d.peers.Rank {
 			continue
 		}
-		d.asked[i] = now
-		want := d.queued(i)
+		d.lastBorrow[i] = now
+		want := d.queuedFor(i)
 		go func() {
 			n := d.options.Borrower.Borrow(ctx, rank, i, limit, want)
-			d.send(borrowed{item: i, n: n, asked: now})
+			d.send(borrowed{item: i, n: n, requestedAt: now})
 		}()
 	}
 }
 
-// Lend gives a part of an item's limit to another VM and returns how much.
+// Lend lends up to want slots of this VM's share of an item's limit to another VM and
+// returns how many it has lent. It returns 0 if ctx ends or the dispatcher has stopped.
 func (d *Dispatcher) Lend(ctx context.Context, i route.Item, limit, want int) int {
 	lent := make(chan int, 1)
 	if !d.send(lend{item: i, limit: limit, want: want, lent: lent}) {
@@ -86,25 +88,25 @@
 	return 0
 }
 
-// lendPart lends what neither runs here nor waits here.
-func (d *Dispatcher) lendPart(m lend, now time.Time) {
-	inUse := d.router.AdapterInFlight(m.item) + d.queued(m.item)
+// lend lends slots that no running or queued request of this VM needs.
+func (d *Dispatcher) lend(m lend, now time.Time) {
+	inUse := d.router.AdapterInFlight(m.item) + d.queuedFor(m.item)
 	m.lent <- d.parts.Lend(m.item, m.limit, inUse, m.want, now)
 }
 
-// PeerBorrower asks over gRPC.
+// PeerBorrower is a Borrower that calls other VMs over gRPC.
 type PeerBorrower struct {
 	// Pool makes the calls.
 	Pool *peer.Pool
-	// Address returns the address for peers of the VM at a place in the fleet's
-	// order, or "".
+	// Address returns the peer address of the VM with the given rank, or "" if it has
+	// none.
 	Address func(rank int) string
 }
 
-// borrowTimeout bounds one question.
+// borrowTimeout bounds one borrow request.
 const borrowTimeout = 200 * time.Millisecond
 
-// Borrow implements Borrower.
+// Borrow implements Borrower. It returns 0 if the VM has no address or the call fails.
 func (p PeerBorrower) Borrow(ctx context.Context, rank int, i route.Item, limit, want int) int {
 	address := p.Address(rank)
 	if address == "" {
@@ -122,18 +124,18 @@
 	return int(out.GetLent())
 }
 
-// Server answers other VMs.
+// Server serves the borrow requests of other VMs.
 type Server struct {
 	peerpb.UnimplementedSharesServer
 	dispatcher *Dispatcher
 }
 
-// Register adds the service to a server of peers.
+// Register registers the service with a gRPC server for peers.
 func (d *Dispatcher) Register(r grpc.ServiceRegistrar) {
 	peerpb.RegisterSharesServer(r, &Server{dispatcher: d})
 }
 
-// BorrowShare lends a part of a limit.
+// BorrowShare lends a part of this VM's share of a limit.
 func (s *Server) BorrowShare(ctx context.Context, in *peerpb.BorrowShareRequest) (*peerpb.BorrowShareResponse, error) {
 	item := route.Item{Model: in.GetModel(), Adapter: in.GetAdapter()}
 	lent := s.dispatcher.Lend(ctx, item, int(in.GetLimit()), int(in.GetWant()))
