--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -1,4 +1,4 @@
-// Package relay carries completions from engines to callers: it goes on with a
-// stream whose connection has broken, moves it to another engine, and keeps it for
-// a while when the caller has gone.
+// Package relay forwards completions from engines to callers. It resumes a stream whose
+// connection has failed, moves it to another engine if that does not succeed, and keeps
+// it running for a grace period after the caller has disconnected.
 package relay
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -13,37 +13,38 @@
 const (
 	// releaseTimeout bounds one call to another VM.
 	releaseTimeout = 500 * time.Millisecond
-	// releasePause is the time between two tries.
-	releasePause = time.Second
+	// releaseRetryDelay is the delay between two attempts.
+	releaseRetryDelay = time.Second
 )
 
-// Releaser tells other VMs that a stream is read here now.
+// Releaser makes other VMs release streams that this VM has taken over.
 type Releaser struct {
 	// Pool makes the calls.
 	Pool *peer.Pool
-	// Address returns a VM's address for peers, or "".
+	// Address returns a VM's peer address, or "" if it has none.
 	Address func(vm string) string
-	// For is how long an unanswered call is repeated. It is the grace time of the
+	// For is how long a failing call is retried. It is the grace period of the
 	// VMs: after that the stream has been stopped, or its VM is gone.
 	For time.Duration
 }
 
-// Release tells a VM, in the background. If the VM never hears it, because it has
-// died, it cannot stop the stream either.
+// Release asks a VM in the background to release a stream, and retries until the call
+// succeeds or the retry time has passed. A VM that receives no call because it has died
+// cannot stop the stream either.
 func (r Releaser) Release(vm, streamID string) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), r.For)
 		defer cancel()
-		for ctx.Err() == nil && !r.try(ctx, vm, streamID) {
+		for ctx.Err() == nil && !r.call(ctx, vm, streamID) {
 			select {
-			case <-time.After(releasePause):
+			case <-time.After(releaseRetryDelay):
 			case <-ctx.Done():
 			}
 		}
 	}()
 }
 
-func (r Releaser) try(ctx context.Context, vm, streamID string) bool {
+func (r Releaser) call(ctx context.Context, vm, streamID string) bool {
 	address := r.Address(vm)
 	if address == "" {
 		return false
@@ -55,18 +56,18 @@
 	return err == nil
 }
 
-// Server answers other VMs.
+// Server serves the release calls of other VMs.
 type Server struct {
 	peerpb.UnimplementedStreamsServer
 	relay *Relay
 }
 
-// Register adds the service to a server of peers.
+// Register registers the service with a gRPC server for peers.
 func (r *Relay) Register(s grpc.ServiceRegistrar) {
 	peerpb.RegisterStreamsServer(s, &Server{relay: r})
 }
 
-// ReleaseStream ends this VM's part in a stream.
+// ReleaseStream makes this VM stop reading a stream without stopping its engine.
 func (s *Server) ReleaseStream(_ context.Context, in *peerpb.ReleaseStreamRequest) (*peerpb.ReleaseStreamResponse, error) {
 	return &peerpb.ReleaseStreamResponse{Found: s.relay.Release(in.GetStream())}, nil
 }
--- a/internal/relay/registry.go
+++ b/internal/relay/registry.go
@@ -2,53 +2,54 @@
 
 import "sync"
 
-// registry holds the streams that this VM reads, by ID.
+// registry holds the sessions of the streams that this VM reads, by stream ID.
 type registry struct {
-	mu   sync.Mutex
-	open map[string]*reading
+	mu       sync.Mutex
+	sessions map[string]*session
 }
 
-// reading is one reading of a stream.
-type reading struct {
-	end func()
+// session is one run that reads a stream.
+type session struct {
+	cancel func()
 }
 
 func newRegistry() *registry {
-	return &registry{open: make(map[string]*reading)}
+	return &registry{sessions: make(map[string]*session)}
 }
 
-// add notes a stream with the function that ends its reading. A reading that was
-// there before is ended: the caller has come back before he was missed.
-func (r *registry) add(id string, end func()) *reading {
-	this := &reading{end: end}
+// add registers a session of a stream with the function that cancels it. An existing
+// session of the stream is cancelled: the caller has reconnected before the loss of
+// the old connection was noticed.
+func (r *registry) add(id string, cancel func()) *session {
+	added := &session{cancel: cancel}
 	r.mu.Lock()
-	before := r.open[id]
-	r.open[id] = this
+	previous := r.sessions[id]
+	r.sessions[id] = added
 	r.mu.Unlock()
-	if before != nil {
-		before.end()
+	if previous != nil {
+		previous.cancel()
 	}
-	return this
+	return added
 }
 
-// remove forgets a reading, unless another one has taken its place.
-func (r *registry) remove(id string, this *reading) {
+// remove removes a session, unless another one has replaced it.
+func (r *registry) remove(id string, removed *session) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.open[id] == this {
-		delete(r.open, id)
+	if r.sessions[id] == removed {
+		delete(r.sessions, id)
 	}
 }
 
-// release ends the reading of a stream.
+// release cancels and removes the session of a stream. It reports whether there was one.
 func (r *registry) release(id string) bool {
 	r.mu.Lock()
-	this := r.open[id]
-	delete(r.open, id)
+	released := r.sessions[id]
+	delete(r.sessions, id)
 	r.mu.Unlock()
-	if this == nil {
+	if released == nil {
 		return false
 	}
-	this.end()
+	released.cancel()
 	return true
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -13,11 +13,13 @@
 )
 
 var (
-	// ErrLost means that a stream broke and could not be gone on with.
+	// ErrLost means that a stream failed and could not be continued.
 	ErrLost = errors.New("relay: stream lost")
-	// ErrCallerGone means that the caller went away and did not come back.
+	// ErrCallerGone means that the caller disconnected and did not reconnect within
+	// the grace period.
 	ErrCallerGone = errors.New("relay: caller gone")
-	// ErrTakenOver means that the caller reads the stream at another VM now.
+	// ErrTakenOver means that the caller now reads the stream over another
+	// connection, at this or another VM.
 	ErrTakenOver = errors.New("relay: stream taken over by another VM")
 )
 
@@ -28,18 +30,18 @@
 type Options struct {
 	// Engines is the client of the engines.
 	Engines *engine.Client
-	// Follow bounds how long a broken stream is followed.
-	Follow resume.Options
-	// Grace is how long a stream goes on after its caller has gone, before the
-	// engine is told to stop. The default is 10s.
+	// Recovery bounds the recovery of a failed stream.
+	Recovery resume.Options
+	// Grace is how long a stream continues after its caller has disconnected, before
+	// its generation is cancelled. The default is 10s.
 	Grace time.Duration
 }
 
-// Relay carries streams. It is safe for concurrent use.
+// Relay forwards streams from engines to callers. It is safe for concurrent use.
 type Relay struct {
-	options Options
-	open    *registry
-	// rereads is a planted fault: a broken stream is read again from its start.
+	options  Options
+	sessions *registry
+	// rereads is a fault that tests plant: a failed stream is read again from its start.
 	rereads bool
 }
 
@@ -48,84 +50,84 @@
 	if o.Grace == 0 {
 		o.Grace = DefaultGrace
 	}
-	return &Relay{options: o, open: newRegistry()}
+	return &Relay{options: o, sessions: newRegistry()}
 }
 
-// Release ends this VM's part in a stream because the caller reads it at another
-// VM. It reports whether the stream was here.
+// Release stops reading a stream because the caller now reads it at another VM. The
+// engine is not stopped. It reports whether this VM was reading the stream.
 func (r *Relay) Release(streamID string) bool {
-	return r.open.release(streamID)
+	return r.sessions.release(streamID)
 }
 
-// Place is where a stream is made.
+// Place identifies the engine that generates a stream.
 type Place struct {
 	// Engine is the engine's name.
 	Engine string
-	// URL is its base address.
+	// URL is the engine's base address.
 	URL string
 }
 
-// Sink takes a stream on its way to the caller. Its methods are called from one
+// Sink receives the events of a stream for the caller. Its methods are called from one
 // goroutine.
 type Sink interface {
-	// Attach says where the events that follow are made.
+	// Attach reports which engine generates the events that follow.
 	Attach(p Place) error
-	// Event passes one event on. An error means that the caller has gone.
+	// Event passes on one event. An error means that the caller has disconnected.
 	Event(e engine.Event) error
 }
 
 // Job is one completion.
 type Job struct {
-	// StreamID names the stream at the engines. It is unique for ever.
+	// StreamID identifies the stream at the engines. It is never reused.
 	StreamID string
-	// Path is the engine's path.
+	// Path is the path of the request at the engine.
 	Path string
-	// Priority is larger for what is to run first.
+	// Priority is higher for requests that are to run first.
 	Priority int
-	// Body is the engine's request, or nil if only the rest of a stream is asked
-	// for. Then the stream cannot be moved.
+	// Body is the request body for the engine, or nil if only the rest of an existing
+	// stream is requested. Such a stream cannot be moved to another engine.
 	Body []byte
-	// PromptTokens is what reading the prompt costs.
+	// PromptTokens is the cost of processing the prompt, in tokens.
 	PromptTokens int64
-	// At is where the stream is, if only its rest is asked for.
+	// At is the engine that generates the stream, if only its rest is requested.
 	At Place
-	// AfterID is the last event that the caller has.
+	// AfterID is the ID of the last event that the caller has received, or 0.
 	AfterID int64
-	// Acquire waits for an engine. Engines to avoid have failed the job.
+	// Acquire waits for an engine. The engines in avoid have failed the job.
 	Acquire func(ctx context.Context, avoid []string) (*dispatch.Grant, error)
 }
 
-// Usage is what an engine has counted.
+// Usage holds the token counts reported by an engine.
 type Usage struct {
-	// PromptTokens are those of the prompt.
+	// PromptTokens is the number of tokens in the prompt.
 	PromptTokens int64 `json:"prompt_tokens"`
-	// CompletionTokens are those of the answers.
+	// CompletionTokens is the number of generated tokens.
 	CompletionTokens int64 `json:"completion_tokens"`
 }
 
-// Result says how a job ended.
+// Result describes a finished job.
 type Result struct {
 	// Events is the number of events that engines have sent for the job.
 	Events int64
-	// Usage is the engine's own count, if it has given one.
+	// Usage holds the engine's own token counts, or is nil if it has sent none.
 	Usage *Usage
 	// Sent means that the request may have reached an engine.
 	Sent bool
 }
 
-// Run carries a job to its end. The error is nil if the answer is whole. Else it
-// is Acquire's, if the request was never sent, or it is or wraps ErrLost,
-// ErrCallerGone, ErrTakenOver, a *engine.StatusError, or ctx's error. The caller
-// counts as gone when ctx is cancelled; at ctx's deadline the stream ends.
+// Run executes a job to its end. The error is nil if the answer is complete. Otherwise
+// it is the error of Acquire, if the request was never sent, or it is or wraps ErrLost,
+// ErrCallerGone, ErrTakenOver, a *engine.StatusError, or the error of ctx. The caller
+// counts as disconnected when ctx is cancelled; at ctx's deadline the stream ends.
 func (r *Relay) Run(ctx context.Context, j Job, sink Sink) (Result, error) {
 	run := newRun(r, ctx, j, sink)
 	defer run.close()
-	err := run.carry()
+	err := run.relayStream()
 	return run.result, err
 }
 
-// breakOf says what an error means for the stream.
-func breakOf(err error) resume.Break {
+// failureOf classifies the error of an exchange.
+func failureOf(err error) resume.Failure {
 	var status *engine.StatusError
 	switch {
 	case errors.Is(err, engine.ErrNotSent):
@@ -133,14 +135,14 @@
 	case errors.Is(err, engine.ErrUnknownStream):
 		return resume.UnknownStream
 	case errors.As(err, &status):
-		return breakOfStatus(status.Status)
+		return failureOfStatus(status.Status)
 	}
 	return resume.Broken
 }
 
-// breakOfStatus tells an engine's trouble, which another engine may not have, from
-// a fault of the request. An engine that lacks the model answers 404.
-func breakOfStatus(status int) resume.Break {
+// failureOfStatus distinguishes a problem of the engine, which another engine may not
+// have, from a faulty request. An engine that does not have the model answers 404.
+func failureOfStatus(status int) resume.Failure {
 	switch {
 	case status >= http.StatusInternalServerError:
 		return resume.Refused
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -35,7 +35,7 @@
 
 const streamID = "s-1"
 
-// fault is how an engine ends one exchange.
+// fault is the way in which an engine ends one exchange.
 type fault string
 
 const (
@@ -49,47 +49,46 @@
 	unknown   fault = "unknown"
 )
 
-// exchange is what an engine does with one request: a number of events, then a
-// fault.
+// exchange is the scripted response to one request: a number of events, then a fault.
 type exchange struct {
 	events int
 	fault  fault
 }
 
-// engines is one server that stands for all engines. It goes through a script of
-// exchanges and is whole after it.
-type engines struct {
+// fakeEngine is one server that plays all engines. It follows a script of exchanges and
+// serves complete streams after it.
+type fakeEngine struct {
 	*httptest.Server
-	mu       sync.Mutex
-	length   int
-	script   []exchange
-	cancels  int
-	released chan struct{}
+	mu           sync.Mutex
+	streamLength int
+	script       []exchange
+	cancels      int
+	released     chan struct{}
 }
 
-func newEngines(length int, script ...exchange) *engines {
-	e := &engines{length: length, script: script, released: make(chan struct{})}
+func newFakeEngine(length int, script ...exchange) *fakeEngine {
+	e := &fakeEngine{streamLength: length, script: script, released: make(chan struct{})}
 	e.Server = httptest.NewServer(http.HandlerFunc(e.serve))
 	return e
 }
 
-func (e *engines) close() {
+func (e *fakeEngine) close() {
 	close(e.released)
 	e.Close()
 }
 
-func (e *engines) next() exchange {
+func (e *fakeEngine) next() exchange {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.script) == 0 {
-		return exchange{events: e.length, fault: whole}
+		return exchange{events: e.streamLength, fault: whole}
 	}
 	x := e.script[0]
 	e.script = e.script[1:]
 	return x
 }
 
-func (e *engines) serve(w http.ResponseWriter, r *http.Request) {
+func (e *fakeEngine) serve(w http.ResponseWriter, r *http.Request) {
 	if strings.HasSuffix(r.URL.Path, "/cancel") {
 		e.mu.Lock()
 		e.cancels++
@@ -120,37 +119,38 @@
 	}
 }
 
-func (e *engines) write(w http.ResponseWriter, after int, x exchange) {
-	last := min(after+x.events, e.length)
+func (e *fakeEngine) write(w http.ResponseWriter, after int, x exchange) {
+	last := min(after+x.events, e.streamLength)
 	for id := after + 1; id <= last; id++ {
 		fmt.Fprintf(w, "id: %d\ndata: {\"id\":%q}\n\n", id, streamID)
 	}
 	switch {
 	case x.fault == misrouted:
 		fmt.Fprintf(w, "id: %d\ndata: {\"id\":\"other\"}\n\n", last+1)
-	case x.fault == hole && last+2 <= e.length:
+	case x.fault == hole && last+2 <= e.streamLength:
 		fmt.Fprintf(w, "id: %d\ndata: {\"id\":%q}\n\n", last+2, streamID)
-	case x.fault == whole && last == e.length:
+	case x.fault == whole && last == e.streamLength:
 		fmt.Fprintf(w, "id: %d\ndata: [DONE]\n\n", last+1)
 	}
 }
 
-// reader is a caller that keeps what it gets, and may go away after some events.
-type reader struct {
-	ids    []int64
-	done   bool
-	goneAt int
+// recordingSink records the events it receives. If failAfter is positive, it fails after
+// that many events, like a caller who disconnects.
+type recordingSink struct {
+	ids       []int64
+	done      bool
+	failAfter int
 }
 
-var errGone = errors.New("gone")
+var errCallerGone = errors.New("gone")
 
 // Attach implements Sink.
-func (*reader) Attach(Place) error { return nil }
+func (*recordingSink) Attach(Place) error { return nil }
 
 // Event implements Sink.
-func (r *reader) Event(e engine.Event) error {
-	if r.goneAt > 0 && len(r.ids) >= r.goneAt {
-		return errGone
+func (r *recordingSink) Event(e engine.Event) error {
+	if r.failAfter > 0 && len(r.ids) >= r.failAfter {
+		return errCallerGone
 	}
 	if e.Done {
 		r.done = true
@@ -160,8 +160,9 @@
 	return nil
 }
 
-// carry relays one stream of the engines.
-func carry(ctx context.Context, e *engines, sink Sink, rereads bool) (*Relay, func() (Result, error)) {
+// newTestRelay returns a relay and a function that runs one stream of the fake engine
+// through it.
+func newTestRelay(ctx context.Context, e *fakeEngine, sink Sink, rereads bool) (*Relay, func() (Result, error)) {
 	client := engine.NewClient(engine.ClientOptions{IdleLimit: 60 * time.Millisecond, ResumeLimit: 60 * time.Millisecond})
 	r := New(Options{Engines: client, Grace: 50 * time.Millisecond})
 	r.rereads = rereads
@@ -187,67 +188,67 @@
 	}
 }
 
-// walk breaks a stream by a drawn script.
-func walk(rereads bool) oracle.Walk {
+// faultWalk runs a stream through a random script of faults.
+func faultWalk(rereads bool) oracle.Walk {
 	return func(t *rapid.T, o require.TestingT) {
 		faults := []fault{reset, truncate, hole, misrouted, silent, refuse, unknown}
 		length := rapid.IntRange(0, 12).Draw(t, "length")
 		script := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) exchange {
 			return exchange{rapid.IntRange(0, 6).Draw(t, "events"), rapid.SampledFrom(faults).Draw(t, "fault")}
 		}), 0, 5).Draw(t, "script")
-		e := newEngines(length, script...)
+		e := newFakeEngine(length, script...)
 		defer e.close()
-		sink := &reader{}
-		_, run := carry(context.Background(), e, sink, rereads)
+		sink := &recordingSink{}
+		_, run := newTestRelay(context.Background(), e, sink, rereads)
 		_, err := run()
 		for i, id := range sink.ids {
-			require.Equal(o, int64(i+1), id, "a gap or a repeat")
+			require.Equal(o, int64(i+1), id, "the event IDs have a gap or a repeat")
 		}
-		require.Equal(o, err == nil, sink.done, "the end does not say whether the answer is whole")
+		require.Equal(o, err == nil, sink.done, "the final event must be delivered if and only if the run returns no error")
 		if sink.done {
 			require.Len(o, sink.ids, length)
 		}
 	}
 }
 
-// Connections to engines are reset, go silent, lose events or carry another
-// request's, engines refuse and forget. A caller would read a text with a hole or
-// a repeat, somebody else's words, or half an answer that looks whole.
+// Connections to engines are reset, go silent, lose events or deliver another request's
+// events; engines refuse requests and lose streams. Guards against an answer with a gap
+// or a repeat, with another request's content, or truncated without an error.
 func TestStreamsHaveNoGapAndNoRepeat(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { walk(false)(t, t) })
+	rapid.Check(t, func(t *rapid.T) { faultWalk(false)(t, t) })
 }
 
 func TestPlantedFaultIsFound(t *testing.T) {
-	first := oracle.FirstSeed(60, walk(true))
+	first := oracle.FirstSeed(60, faultWalk(true))
 	require.NotEqual(t, oracle.NotFound, first)
-	t.Logf("rereads: found with seed %d", first)
+	t.Logf("planted fault rereads: found with seed %d", first)
 }
 
-// A stream breaks after every few events for as long as it lasts. Its caller must
-// get the whole of it all the same.
-func TestStreamThatBreaksOftenIsServedWhole(t *testing.T) {
+// A stream's connection fails after every few events until the end. The caller must
+// still receive the complete stream.
+func TestStreamThatFailsOftenIsCompleted(t *testing.T) {
 	script := make([]exchange, 20)
 	for i := range script {
 		script[i] = exchange{events: 2, fault: []fault{reset, truncate, hole, misrouted}[i%4]}
 	}
-	e := newEngines(50, script...)
+	e := newFakeEngine(50, script...)
 	defer e.close()
-	sink := &reader{}
-	_, run := carry(t.Context(), e, sink, false)
+	sink := &recordingSink{}
+	_, run := newTestRelay(t.Context(), e, sink, false)
 	result, err := run()
 	require.NoError(t, err)
 	require.Len(t, sink.ids, 50)
 	require.Equal(t, int64(50), result.Events)
 }
 
-// The caller's connection is lost in the middle. The engine goes on for the grace
-// time, in case he comes back, and is then told to stop.
-func TestEngineIsStoppedWhenTheCallerStaysAway(t *testing.T) {
-	e := newEngines(50, exchange{events: 5, fault: silent}, exchange{fault: silent}, exchange{fault: silent})
+// The caller's connection is lost in the middle of a stream. The stream must continue for
+// the grace period, in case the caller reconnects, and then be cancelled at the engine.
+func TestEngineIsStoppedAfterGracePeriod(t *testing.T) {
+	e := newFakeEngine(50, exchange{events: 5, fault: silent}, exchange{fault: silent}, exchange{fault: silent})
 	defer e.close()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, run := carry(context.WithoutCancel(ctx), e, &reader{goneAt: 3}, false)
+	_, run := newTestRelay(context.WithoutCancel(ctx), e, &recordingSink{failAfter: 3}, false)
 	_, err := run()
 	require.ErrorIs(t, err, ErrCallerGone)
 	require.Eventually(t, func() bool {
@@ -257,12 +258,12 @@
 	}, 5*time.Second, time.Millisecond)
 }
 
-// The caller reads on at another VM. This one must let go without stopping the
-// engine, which would cut off the answer there.
+// The caller continues the stream at another VM. This VM must release the stream without
+// stopping the engine, which would truncate the answer there.
 func TestStreamTakenOverIsNotStopped(t *testing.T) {
-	e := newEngines(50, exchange{events: 5, fault: silent}, exchange{fault: silent})
+	e := newFakeEngine(50, exchange{events: 5, fault: silent}, exchange{fault: silent})
 	defer e.close()
-	r, run := carry(t.Context(), e, &reader{}, false)
+	r, run := newTestRelay(t.Context(), e, &recordingSink{}, false)
 	done := make(chan error, 1)
 	go func() {
 		_, err := run()
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -15,64 +15,67 @@
 	"github.com/chestnutarch/chestnutarch/internal/resume"
 )
 
-// run is one job under way. One goroutine carries it.
+// run is the state of one running job. It is used by one goroutine, except for
+// startGrace and the callbacks that cancel its context.
 type run struct {
-	relay  *Relay
-	job    Job
-	sink   Sink
-	follow *resume.Follow
-	// caller is the caller's context. It ends when he goes away.
-	caller context.Context
-	// ctx is the stream's. It outlives the caller for the grace time.
+	relay    *Relay
+	job      Job
+	sink     Sink
+	recovery *resume.Recovery
+	// callerCtx is the caller's context. It ends when the caller disconnects.
+	callerCtx context.Context
+	// ctx is the stream's context. It outlives callerCtx by the grace period.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// unwatch stops waiting for the caller to go.
-	unwatch func() bool
-	reading *reading
-	missed  sync.Once
-	grant   *dispatch.Grant
-	at      Place
-	avoid   []string
-	last    int64
-	gone    bool
-	result  Result
+	// stopWatch stops watching callerCtx and releases the timer of ctx's deadline.
+	stopWatch  func() bool
+	session    *session
+	graceOnce  sync.Once
+	grant      *dispatch.Grant
+	location   Place
+	avoid      []string
+	lastID     int64
+	callerGone bool
+	result     Result
 }
 
 func newRun(r *Relay, caller context.Context, j Job, sink Sink) *run {
-	x := &run{relay: r, job: j, sink: sink, follow: resume.NewFollow(r.options.Follow), caller: caller, at: j.At, last: j.AfterID}
+	x := &run{relay: r, job: j, sink: sink, recovery: resume.NewRecovery(r.options.Recovery), callerCtx: caller, location: j.At, lastID: j.AfterID}
 	detached := context.WithoutCancel(caller)
 	stop := func() {}
 	if deadline, ok := caller.Deadline(); ok {
 		detached, stop = context.WithDeadline(detached, deadline)
 	}
 	x.ctx, x.cancel = context.WithCancelCause(detached)
-	watch := context.AfterFunc(caller, x.callerGone)
-	x.unwatch = func() bool {
+	unregister := context.AfterFunc(caller, x.startGrace)
+	x.stopWatch = func() bool {
 		stop()
-		return watch()
+		return unregister()
 	}
-	x.reading = r.open.add(j.StreamID, func() { x.cancel(ErrTakenOver) })
+	x.session = r.sessions.add(j.StreamID, func() { x.cancel(ErrTakenOver) })
 	return x
 }
 
-// callerGone lets the stream go on for the grace time: the caller may come back,
-// here or at another VM, and would find his answer cut off.
-func (x *run) callerGone() {
-	x.missed.Do(func() {
+// startGrace cancels the stream after the grace period. The stream continues until then
+// because a caller who reconnects, here or at another VM, would otherwise get a
+// truncated answer.
+func (x *run) startGrace() {
+	x.graceOnce.Do(func() {
 		timer := time.AfterFunc(x.relay.options.Grace, func() { x.cancel(ErrCallerGone) })
 		context.AfterFunc(x.ctx, func() { timer.Stop() })
 	})
 }
 
 func (x *run) close() {
-	x.unwatch()
+	x.stopWatch()
 	x.cancel(nil)
-	x.relay.open.remove(x.job.StreamID, x.reading)
-	x.leave(true)
+	x.relay.sessions.remove(x.job.StreamID, x.session)
+	x.finishGrant(true)
 }
 
-// leave gives the engine's place back.
-func (x *run) leave(healthy bool) {
+// finishGrant returns the grant, which releases the engine's capacity, and reports the
+// tokens used. It does nothing without a grant.
+func (x *run) finishGrant(healthy bool) {
 	if x.grant == nil {
 		return
 	}
@@ -84,24 +87,25 @@
 	x.grant = nil
 }
 
-// carry goes from one exchange to the next until the stream is whole.
-func (x *run) carry() error {
-	stream, err := x.start()
+// relayStream runs one exchange after the other until the stream is complete or cannot
+// be continued.
+func (x *run) relayStream() error {
+	stream, err := x.open()
 	for {
 		if err == nil {
-			err = x.pass(stream)
+			err = x.forward(stream)
 			stream.Close()
 		}
-		if err == nil && x.gone {
+		if err == nil && x.callerGone {
 			return ErrCallerGone
 		}
 		if err == nil {
 			return nil
 		}
 		if cause := context.Cause(x.ctx); cause != nil {
-			return x.ended(cause)
+			return x.stopAfter(cause)
 		}
-		next, done, failed := x.recover(err)
+		next, done, failed := x.recoverFrom(err)
 		if done {
 			return failed
 		}
@@ -109,47 +113,48 @@
 	}
 }
 
-// start begins the stream, or the reading of its rest.
-func (x *run) start() (*engine.Stream, error) {
+// open starts the stream, or resumes it if the job asks only for its rest.
+func (x *run) open() (*engine.Stream, error) {
 	if x.job.Body == nil {
 		x.result.Sent = true
-		return x.reopen()
+		return x.resume()
 	}
-	return x.begin()
+	return x.send()
 }
 
-// begin sends the request to an engine that Acquire gives.
-func (x *run) begin() (*engine.Stream, error) {
-	// A caller who has gone before anything was sent wants nothing any more.
-	waiting := x.ctx
+// send acquires an engine and sends the request to it.
+func (x *run) send() (*engine.Stream, error) {
+	// Until the request has been sent, a caller who disconnects cancels the job
+	// without a grace period.
+	acquireCtx := x.ctx
 	if !x.result.Sent {
-		waiting = x.caller
+		acquireCtx = x.callerCtx
 	}
-	grant, err := x.job.Acquire(waiting, x.avoid)
+	grant, err := x.job.Acquire(acquireCtx, x.avoid)
 	if errors.Is(err, dispatch.ErrNoReplica) && len(x.avoid) > 0 {
 		x.avoid = nil
-		grant, err = x.job.Acquire(waiting, nil)
+		grant, err = x.job.Acquire(acquireCtx, nil)
 	}
 	if err != nil {
 		return nil, &acquireError{err}
 	}
 	x.grant = grant
-	x.at = Place{Engine: grant.Upstream.Name, URL: grant.Upstream.URL}
+	x.location = Place{Engine: grant.Upstream.Name, URL: grant.Upstream.URL}
 	stream, err := x.relay.options.Engines.Complete(x.ctx, engine.Request{
-		BaseURL: x.at.URL, Path: x.job.Path, RequestID: x.job.StreamID,
-		Priority: x.job.Priority, Body: x.job.Body, AfterID: x.last,
+		BaseURL: x.location.URL, Path: x.job.Path, RequestID: x.job.StreamID,
+		Priority: x.job.Priority, Body: x.job.Body, AfterID: x.lastID,
 	})
 	x.result.Sent = x.result.Sent || !errors.Is(err, engine.ErrNotSent)
 	return x.attach(stream, err)
 }
 
-// reopen reads the rest of the stream from the engine where it is.
-func (x *run) reopen() (*engine.Stream, error) {
-	after := x.last
+// resume requests the rest of the stream from the engine that generates it.
+func (x *run) resume() (*engine.Stream, error) {
+	after := x.lastID
 	if x.relay.rereads {
 		after = 0
 	}
-	stream, err := x.relay.options.Engines.Resume(x.ctx, x.at.URL, x.job.StreamID, after)
+	stream, err := x.relay.options.Engines.Resume(x.ctx, x.location.URL, x.job.StreamID, after)
 	return x.attach(stream, err)
 }
 
@@ -157,15 +162,15 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := x.sink.Attach(x.at); err != nil {
+	if err := x.sink.Attach(x.location); err != nil {
 		stream.Close()
 		return nil, err
 	}
 	return stream, nil
 }
 
-// pass hands the events of one exchange on.
-func (x *run) pass(stream *engine.Stream) error {
+// forward passes the events of one exchange to the sink.
+func (x *run) forward(stream *engine.Stream) error {
 	for {
 		event, err := stream.Next()
 		if err == io.EOF {
@@ -174,21 +179,21 @@
 		if err != nil {
 			return err
 		}
-		x.follow.Progress()
+		x.recovery.Progress()
 		if !event.Done {
-			x.last = event.ID
+			x.lastID = event.ID
 			x.result.Events++
-			x.noteUsage(event.Data)
+			x.recordUsage(event.Data)
 		}
 		x.deliver(event)
 	}
 }
 
-// usageField is how a chunk that carries a usage looks.
+// usageField is contained in every chunk that carries a usage.
 var usageField = []byte(`"usage":{`)
 
-// noteUsage keeps the engine's count, which comes with the last chunk.
-func (x *run) noteUsage(data []byte) {
+// recordUsage stores the engine's token counts, which arrive in the last chunk.
+func (x *run) recordUsage(data []byte) {
 	if !bytes.Contains(data, usageField) {
 		return
 	}
@@ -200,14 +205,15 @@
 	}
 }
 
-// deliver gives an event to the caller. Once he has gone, events are only counted.
+// deliver passes an event to the sink. After the sink has failed, events are discarded;
+// they still count in the result.
 func (x *run) deliver(event engine.Event) {
-	if x.gone {
+	if x.callerGone {
 		return
 	}
 	if err := x.sink.Event(event); err != nil {
-		x.gone = true
-		x.callerGone()
+		x.callerGone = true
+		x.startGrace()
 	}
 }
 
@@ -217,28 +223,28 @@
 // Unwrap returns the error.
 func (e *acquireError) Unwrap() error { return e.error }
 
-// recover takes the next step after a break. With done set, the run ends with the
-// error, which may be nil.
-func (x *run) recover(cause error) (stream *engine.Stream, done bool, err error) {
+// recoverFrom takes the next step after a failed exchange. If done is true, the run ends
+// with err.
+func (x *run) recoverFrom(cause error) (stream *engine.Stream, done bool, err error) {
 	var acquire *acquireError
 	if errors.As(cause, &acquire) {
-		return nil, true, x.unacquired(acquire.error)
+		return nil, true, x.acquireFailed(acquire.error)
 	}
-	step, pause := x.follow.Broke(breakOf(cause))
+	step, pause := x.recovery.NextStep(failureOf(cause))
 	if step == resume.Move && x.job.Body == nil {
 		step = resume.GiveUp
 	}
 	switch step {
 	case resume.Resume:
-		x.pause(pause)
-		stream, err = x.reopen()
+		x.wait(pause)
+		stream, err = x.resume()
 		return stream, false, err
 	case resume.Move:
-		x.abandon()
-		stream, err = x.begin()
+		x.abandonEngine()
+		stream, err = x.send()
 		return stream, false, err
 	}
-	x.abandon()
+	x.abandonEngine()
 	var status *engine.StatusError
 	if errors.As(cause, &status) {
 		return nil, true, cause
@@ -246,41 +252,41 @@
 	return nil, true, &lostError{cause}
 }
 
-// lostError is the loss of a stream with its cause.
+// lostError is ErrLost with its cause.
 type lostError struct{ cause error }
 
-// Error names both.
+// Error returns the texts of ErrLost and the cause.
 func (e *lostError) Error() string { return ErrLost.Error() + ": " + e.cause.Error() }
 
-// Unwrap returns both.
+// Unwrap returns ErrLost and the cause.
 func (e *lostError) Unwrap() []error { return []error{ErrLost, e.cause} }
 
-// unacquired is the end of a job that gets no engine.
-func (x *run) unacquired(err error) error {
+// acquireFailed returns the error of a job for which no engine could be acquired.
+func (x *run) acquireFailed(err error) error {
 	if x.result.Sent {
 		return errors.Wrap(ErrLost, err.Error())
 	}
 	return err
 }
 
-// abandon leaves an engine that has failed the job, and tells it to stop in case
-// it still works on it.
-func (x *run) abandon() {
+// abandonEngine finishes the grant for an engine that has failed the job and cancels the
+// generation in case the engine is still working on it.
+func (x *run) abandonEngine() {
 	if x.grant == nil {
 		return
 	}
-	x.avoid = append(x.avoid, x.at.Engine)
+	x.avoid = append(x.avoid, x.location.Engine)
 	x.stopEngine()
-	x.leave(false)
+	x.finishGrant(false)
 }
 
-// stopEngine cancels the generation without waiting for the answer.
+// stopEngine cancels the generation without waiting for the response.
 func (x *run) stopEngine() {
-	client, at, id := x.relay.options.Engines, x.at, x.job.StreamID
-	go func() { _ = client.Cancel(context.WithoutCancel(x.ctx), at.URL, id) }()
+	client, location, id := x.relay.options.Engines, x.location, x.job.StreamID
+	go func() { _ = client.Cancel(context.WithoutCancel(x.ctx), location.URL, id) }()
 }
 
-func (x *run) pause(d time.Duration) {
+func (x *run) wait(d time.Duration) {
 	if d == 0 {
 		return
 	}
@@ -292,10 +298,10 @@
 	}
 }
 
-// ended is the end of a job whose context has ended. Unless another VM has the
-// stream now, nobody will read it.
-func (x *run) ended(cause error) error {
-	if !errors.Is(cause, ErrTakenOver) && x.at.URL != "" {
+// stopAfter ends a job whose context has ended and returns the cause. Unless another VM
+// has taken over the stream, it stops the engine, because nobody will read the stream.
+func (x *run) stopAfter(cause error) error {
+	if !errors.Is(cause, ErrTakenOver) && x.location.URL != "" {
 		x.stopEngine()
 	}
 	return cause
--- a/internal/resume/token.go
+++ b/internal/resume/token.go
@@ -11,54 +11,56 @@
 )
 
 var (
-	// ErrMalformed means that an event ID is not a token.
+	// ErrMalformed means that an event ID is not a well-formed token.
 	ErrMalformed = errors.New("resume: malformed token")
-	// ErrForged means that no accepted secret has signed the token.
-	ErrForged = errors.New("resume: token not signed by an accepted secret")
-	// ErrForeign means that the token is another team's.
+	// ErrBadSignature means that the token is not signed with an accepted secret.
+	ErrBadSignature = errors.New("resume: token not signed by an accepted secret")
+	// ErrForeign means that the token belongs to another team.
 	ErrForeign = errors.New("resume: token of another team")
 	// ErrWeakSecret means that a secret is shorter than MinSecretBytes.
 	ErrWeakSecret = errors.New("resume: secret too short")
-	// ErrNoSecret means that a ring was made without a secret.
-	ErrNoSecret = errors.New("resume: no secret")
+	// ErrNoSecret means that no secret was passed to NewRing.
+	ErrNoSecret = errors.New("resume: no secret given")
 )
 
 const (
-	// MinSecretBytes is the least length of a secret.
+	// MinSecretBytes is the minimum length of a secret in bytes.
 	MinSecretBytes = 32
-	// MaxTokenBytes is the longest event ID that is looked at.
+	// MaxTokenBytes is the maximum length of an event ID in bytes. Longer ones are
+	// rejected without decoding.
 	MaxTokenBytes = 1024
-	// maxFieldBytes bounds each name in a token.
+	// maxFieldBytes bounds the length of each name in a token.
 	maxFieldBytes = 200
-	// tagBytes is the length of the signature, SHA-256 cut to 128 bits.
+	// tagBytes is the length of the signature: HMAC-SHA-256 truncated to 128 bits.
 	tagBytes = 16
-	// format is the first byte of every token.
-	format = 1
+	// tokenFormat is the first byte of every token.
+	tokenFormat = 1
 )
 
-// Token is a place in a stream.
+// Token is a position in a stream.
 type Token struct {
-	// Team is whose stream it is.
+	// Team is the team that owns the stream.
 	Team string
-	// VM is the name of the entry VM that passes it on.
+	// VM is the name of the entry VM that relays the stream.
 	VM string
-	// Engine is the name of the engine that makes it.
+	// Engine is the name of the engine that generates the stream.
 	Engine string
 	// Stream is the stream's request ID at the engine.
 	Stream string
-	// Offset is the engine's ID of the last event that the caller has. It is
-	// 0 before the first one.
+	// Offset is the engine's ID of the last event that the caller has received. It
+	// is 0 before the first event.
 	Offset int64
 }
 
-// Ring holds the secrets. It is immutable and safe for concurrent use.
+// Ring is a keyring of the signing secrets. It is immutable and safe for concurrent
+// use.
 type Ring struct {
 	secrets [][]byte
 }
 
-// NewRing returns a ring that signs with the first secret and accepts them all.
-// To rotate, put the new secret last on every VM, then first, then remove the
-// old one. It returns ErrNoSecret or ErrWeakSecret.
+// NewRing returns a keyring that signs with the first secret and accepts tokens signed
+// with any of them. To rotate, append the new secret on every VM, then move it to the
+// front, then remove the old one. Errors are ErrNoSecret and ErrWeakSecret.
 func NewRing(secrets ...[]byte) (*Ring, error) {
 	if len(secrets) == 0 {
 		return nil, ErrNoSecret
@@ -71,20 +73,20 @@
 	return &Ring{secrets: secrets}, nil
 }
 
-// Signer makes the tokens of one stream. It is not safe for concurrent use.
+// Signer creates the tokens of one stream. It is not safe for concurrent use.
 type Signer struct {
 	mac    hash.Hash
 	prefix []byte
 	buffer []byte
 }
 
-// Signer returns a signer for the stream of a token; its offset does not matter.
-// Names longer than 200 bytes are refused with ErrMalformed.
+// Signer returns a signer for the stream of a token; the token's offset is ignored.
+// Names longer than 200 bytes are rejected with ErrMalformed.
 func (r *Ring) Signer(t Token) (*Signer, error) {
-	prefix := []byte{format}
+	prefix := []byte{tokenFormat}
 	for _, field := range []string{t.Team, t.VM, t.Engine, t.Stream} {
 		if len(field) > maxFieldBytes {
-			return nil, errors.Wrap(ErrMalformed, "name too long")
+			return nil, errors.Wrap(ErrMalformed, "a name in the token is longer than the limit")
 		}
 		prefix = binary.AppendUvarint(prefix, uint64(len(field)))
 		prefix = append(prefix, field...)
@@ -92,20 +94,20 @@
 	return &Signer{mac: hmac.New(sha256.New, r.secrets[0]), prefix: prefix}, nil
 }
 
-// Append adds the token for an offset to dst.
+// Append appends the encoded token for an offset to dst and returns the result.
 func (s *Signer) Append(dst []byte, offset int64) []byte {
 	s.buffer = append(s.buffer[:0], s.prefix...)
 	s.buffer = binary.AppendUvarint(s.buffer, uint64(offset))
 	s.mac.Reset()
 	s.mac.Write(s.buffer)
-	whole := s.mac.Sum(s.buffer)
-	whole = whole[:len(s.buffer)+tagBytes]
-	s.buffer = whole
-	return base64.RawURLEncoding.AppendEncode(dst, whole)
+	signed := s.mac.Sum(s.buffer)
+	signed = signed[:len(s.buffer)+tagBytes]
+	s.buffer = signed
+	return base64.RawURLEncoding.AppendEncode(dst, signed)
 }
 
-// Open returns the token in an event ID that a caller of the team sent back. It
-// returns ErrMalformed, ErrForged or ErrForeign.
+// Open decodes and verifies the token in an event ID that a caller of the team sent
+// back. Errors are ErrMalformed, ErrBadSignature and ErrForeign.
 func (r *Ring) Open(id, team string) (Token, error) {
 	if len(id) > MaxTokenBytes {
 		return Token{}, ErrMalformed
@@ -115,8 +117,8 @@
 		return Token{}, ErrMalformed
 	}
 	signed, tag := raw[:len(raw)-tagBytes], raw[len(raw)-tagBytes:]
-	if !r.signed(signed, tag) {
-		return Token{}, ErrForged
+	if !r.verify(signed, tag) {
+		return Token{}, ErrBadSignature
 	}
 	token, err := parse(signed)
 	if err != nil {
@@ -128,7 +130,7 @@
 	return token, nil
 }
 
-func (r *Ring) signed(message, tag []byte) bool {
+func (r *Ring) verify(message, tag []byte) bool {
 	for _, secret := range r.secrets {
 		mac := hmac.New(sha256.New, secret)
 		mac.Write(message)
@@ -139,20 +141,20 @@
 	return false
 }
 
-// parse reads what a signer has put together.
+// parse decodes the signed part of a token.
 func parse(b []byte) (Token, error) {
-	if b[0] != format {
+	if b[0] != tokenFormat {
 		return Token{}, ErrMalformed
 	}
 	b = b[1:]
 	var fields [4]string
 	for i := range fields {
-		n, used := binary.Uvarint(b)
-		if used <= 0 || n > maxFieldBytes || uint64(len(b)-used) < n {
+		length, used := binary.Uvarint(b)
+		if used <= 0 || length > maxFieldBytes || uint64(len(b)-used) < length {
 			return Token{}, ErrMalformed
 		}
 		b = b[used:]
-		fields[i], b = string(b[:n]), b[n:]
+		fields[i], b = string(b[:length]), b[length:]
 	}
 	offset, used := binary.Uvarint(b)
 	if used <= 0 || used != len(b) || int64(offset) < 0 {
--- a/internal/resume/token_test.go
+++ b/internal/resume/token_test.go
@@ -20,7 +20,7 @@
 
 func secret(b byte) []byte { return bytes.Repeat([]byte{b}, MinSecretBytes) }
 
-func ring(t require.TestingT, secrets ...byte) *Ring {
+func newTestKeyring(t require.TestingT, secrets ...byte) *Ring {
 	var all [][]byte
 	for _, b := range secrets {
 		all = append(all, secret(b))
@@ -50,25 +50,27 @@
 	})
 }
 
-// A caller comes back to any VM, also while the secret is being changed.
-func TestTokensComeBackDuringRotation(t *testing.T) {
+// A caller resumes at any VM while the secret is being rotated. VMs that have the same
+// two secrets in either order must accept each other's tokens; a VM with neither must
+// reject them.
+func TestTokensAreAcceptedDuringRotation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		token := tokens().Draw(t, "token")
-		for _, id := range []string{sign(t, ring(t, 'a', 'b'), token), sign(t, ring(t, 'b', 'a'), token)} {
-			got, err := ring(t, 'a', 'b').Open(id, token.Team)
+		for _, id := range []string{sign(t, newTestKeyring(t, 'a', 'b'), token), sign(t, newTestKeyring(t, 'b', 'a'), token)} {
+			got, err := newTestKeyring(t, 'a', 'b').Open(id, token.Team)
 			require.NoError(t, err)
 			require.Equal(t, token, got)
 		}
-		_, err := ring(t, 'c').Open(sign(t, ring(t, 'a'), token), token.Team)
-		require.ErrorIs(t, err, ErrForged)
+		_, err := newTestKeyring(t, 'c').Open(sign(t, newTestKeyring(t, 'a'), token), token.Team)
+		require.ErrorIs(t, err, ErrBadSignature)
 	})
 }
 
-// Somebody who has seen another team's event ID, or changes a character of his
-// own, must not read a stream that is not his.
+// Guards against reading another team's stream by sending that team's event ID, or by
+// changing a character of one's own.
 func TestChangedOrForeignTokensAreRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := ring(t, 'a')
+		r := newTestKeyring(t, 'a')
 		token := tokens().Draw(t, "token")
 		id := sign(t, r, token)
 		_, err := r.Open(id, token.Team+"x")
@@ -91,10 +93,10 @@
 	require.ErrorIs(t, err, ErrWeakSecret)
 }
 
-// FuzzOpen feeds event IDs from outside. What is accepted must be exactly what a
-// signer would have made.
+// FuzzOpen opens arbitrary event IDs. An accepted event ID must be exactly the one that
+// a signer creates for the same token.
 func FuzzOpen(f *testing.F) {
-	r := ring(f, 'a')
+	r := newTestKeyring(f, 'a')
 	f.Add(sign(f, r, Token{Team: "t", VM: "v", Engine: "e", Stream: "s", Offset: 3}))
 	f.Add("")
 	f.Add("AQ")
@@ -107,10 +109,10 @@
 	})
 }
 
-// FuzzParse feeds what stands under a valid signature.
+// FuzzParse parses arbitrary bytes as the signed part of a token.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte{format, 1, 't', 1, 'v', 1, 'e', 1, 's', 3})
-	f.Add([]byte{format, 255, 255, 255, 255, 255, 255, 255, 255, 255, 1})
+	f.Add([]byte{tokenFormat, 1, 't', 1, 'v', 1, 'e', 1, 's', 3})
+	f.Add([]byte{tokenFormat, 255, 255, 255, 255, 255, 255, 255, 255, 255, 1})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if len(b) == 0 {
 			return
@@ -124,7 +126,7 @@
 }
 
 func BenchmarkAppend(b *testing.B) {
-	s, err := ring(b, 'a').Signer(Token{Team: "team-one", VM: "vm-1", Engine: "engine-07", Stream: "0195f5a4-0000-7000-8000-000000000000"})
+	s, err := newTestKeyring(b, 'a').Signer(Token{Team: "team-one", VM: "vm-1", Engine: "engine-07", Stream: "0195f5a4-0000-7000-8000-000000000000"})
 	require.NoError(b, err)
 	var buffer []byte
 	b.ReportAllocs()
