--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -33,29 +33,29 @@
 	DefaultResumeLimit = 2 * time.Second
 	// DefaultCallTimeout is the default of ClientOptions.CallTimeout.
 	DefaultCallTimeout = 2 * time.Second
-	// maxErrorBody bounds how much of a failed answer is kept.
+	// maxErrorBody bounds how many bytes of an error answer's body are kept.
 	maxErrorBody = 4 << 10
-	// maxReportBytes bounds a load report.
+	// maxReportBytes bounds the size of a load report.
 	maxReportBytes = 1 << 20
 )
 
 // ClientOptions configures a Client. The zero value takes every default.
 type ClientOptions struct {
-	// Limits says how soon a silent connection is given up.
+	// Limits bounds how long a connection may be silent before it is closed.
 	Limits transport.Limits
 	// Pool bounds the idle connections.
 	Pool transport.Pool
 	// TLS is used for engines with an https address.
 	TLS transport.TLS
-	// IdleLimit is how long a stream may bring nothing, and how long its
-	// answer's header may take, before it counts as silent. The default is 5s.
+	// IdleLimit is the idle timeout of a stream: how long it may deliver no event,
+	// and how long the header of the answer may take. The default is 5s.
 	IdleLimit time.Duration
-	// ResumeLimit is how long the answer's header may take when a stream is
-	// resumed. It is shorter than IdleLimit, since an engine that has the stream
-	// answers at once. The default is 2s.
+	// ResumeLimit is how long the header of the answer may take when a stream is
+	// resumed. Its default is shorter than that of IdleLimit because an engine that
+	// has the stream answers at once. The default is 2s.
 	ResumeLimit time.Duration
-	// CallTimeout bounds the short calls: load reports and cancels. The default
-	// is 2s.
+	// CallTimeout bounds the calls other than streams: load reports and
+	// cancellations. The default is 2s.
 	CallTimeout time.Duration
 }
 
@@ -102,15 +102,15 @@
 	BaseURL string
 	// Path is "/v1/chat/completions" or "/v1/completions".
 	Path string
-	// RequestID is unique for ever. The engine echoes it, and names the stream
-	// by it.
+	// RequestID is never reused. The engine echoes it and uses it as the ID of the
+	// stream.
 	RequestID string
-	// Priority is larger for what is to run first.
+	// Priority is higher for requests that are to run first.
 	Priority int
 	// Body is the JSON body. Its "stream" field must be true.
 	Body []byte
-	// AfterID is the last event that is already known, of a generation that
-	// another engine began. It is 0 for a new one.
+	// AfterID is the ID of the last event already received, if another engine has
+	// started the generation. It is 0 for a new generation.
 	AfterID int64
 }
 
@@ -125,22 +125,22 @@
 	if r.AfterID > 0 {
 		header.Set(headerLastEventID, strconv.FormatInt(r.AfterID, 10))
 	}
-	return c.open(ctx, opening{
+	return c.open(ctx, openRequest{
 		method: http.MethodPost, target: r.BaseURL + r.Path, header: header, body: r.Body,
-		requestID: r.RequestID, afterID: r.AfterID, limit: c.idleLimit,
+		requestID: r.RequestID, afterID: r.AfterID, headerTimeout: c.idleLimit,
 	})
 }
 
-// Resume returns the rest of a stream, after the event afterID, on whatever
-// connection is free. Errors are those of Complete, and ErrUnknownStream.
+// Resume returns the rest of a stream, after the event afterID, over any idle or new
+// connection. Errors are those of Complete, and ErrUnknownStream.
 func (c *Client) Resume(ctx context.Context, baseURL, requestID string, afterID int64) (*Stream, error) {
 	header := http.Header{}
 	header.Set("Accept", "text/event-stream")
 	header.Set(headerRequestID, requestID)
 	header.Set(headerLastEventID, strconv.FormatInt(afterID, 10))
-	s, err := c.open(ctx, opening{
+	s, err := c.open(ctx, openRequest{
 		method: http.MethodGet, target: streamURL(baseURL, requestID), header: header,
-		requestID: requestID, afterID: afterID, limit: c.resumeLimit,
+		requestID: requestID, afterID: afterID, headerTimeout: c.resumeLimit,
 	})
 	var status *StatusError
 	if errors.As(err, &status) && status.Status == http.StatusNotFound {
@@ -149,8 +149,8 @@
 	return s, err
 }
 
-// Cancel stops a stream's generation. It returns ErrUnknownStream if the engine
-// knows of none.
+// Cancel stops the generation of a stream. The error wraps ErrUnknownStream if the
+// engine has no such stream.
 func (c *Client) Cancel(ctx context.Context, baseURL, requestID string) error {
 	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
@@ -159,7 +159,7 @@
 	if err != nil {
 		return err
 	}
-	defer x.end(resp)
+	defer x.drain(resp)
 	if resp.StatusCode == http.StatusNotFound {
 		return errors.Wrap(ErrUnknownStream, requestID)
 	}
@@ -177,7 +177,7 @@
 	if err != nil {
 		return Load{}, err
 	}
-	defer x.end(resp)
+	defer x.drain(resp)
 	if resp.StatusCode != http.StatusOK {
 		return Load{}, statusError(resp)
 	}
@@ -205,14 +205,14 @@
 	return &StatusError{Status: resp.StatusCode, Body: body}
 }
 
-// exchange is one request with the connection that it went out on.
+// exchange is one request with the connection that it was sent on.
 type exchange struct {
 	mu   sync.Mutex
 	conn net.Conn
 }
 
-// gotConn is called when a connection is given to the request. Before that no
-// byte of the request can have been written.
+// gotConn is called when the request is assigned a connection. Before that, no byte of
+// the request can have been written.
 func (x *exchange) gotConn(info httptrace.GotConnInfo) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -225,9 +225,9 @@
 	return x.conn != nil
 }
 
-// abandon closes the connection. An exchange that was given up may still be
-// answered; on a connection that goes back to the pool, that late answer would
-// be read as the answer to the next request.
+// abandon closes the connection. An abandoned exchange may still be answered; if its
+// connection were returned to the pool, the late answer would be read as the answer to
+// the next request.
 func (x *exchange) abandon() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -236,16 +236,16 @@
 	}
 }
 
-// end finishes a short exchange. What is left of a small body is read, so that
-// the connection can be used again.
-func (x *exchange) end(resp *http.Response) {
+// drain ends an exchange. It reads the rest of a small body, so that the connection can
+// be reused.
+func (x *exchange) drain(resp *http.Response) {
 	_, _ = io.CopyN(io.Discard, resp.Body, maxErrorBody)
 	_ = resp.Body.Close()
 }
 
-// exchange sends a request and returns the answer's header. The headers given
-// are all that the engine sees, besides the trace context: nothing of what a
-// caller sent passes by itself.
+// exchange sends a request and returns the answer with its body unread. The engine
+// receives only the given headers and the trace context; no header of a caller is
+// forwarded implicitly.
 func (c *Client) exchange(ctx context.Context, method, target string, header http.Header, body []byte) (*http.Response, *exchange, error) {
 	x := &exchange{}
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: x.gotConn})
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -1,3 +1,3 @@
 // Package engine is the client of model engines: OpenAI-style completion
-// streams, load reports and orders, as docs/PROTOCOLS.md gives them.
+// streams, load reports and orders, as specified in docs/PROTOCOLS.md.
 package engine
--- a/internal/engine/errors.go
+++ b/internal/engine/errors.go
@@ -9,17 +9,18 @@
 var (
 	// ErrNotSent means that no byte of the request can have reached the engine.
 	ErrNotSent = errors.New("engine: request not sent")
-	// ErrBroken means that an exchange ended before its answer was whole: the
-	// connection was reset, went silent, skipped an event or was truncated.
+	// ErrBroken means that an exchange ended before its answer was complete: the
+	// connection was reset or silent for too long, or the answer was malformed,
+	// truncated or lacked an event.
 	ErrBroken = errors.New("engine: exchange broken")
 	// ErrMismatch means that an answer carried another request's ID. The
-	// connection is closed and nothing of the answer is used.
+	// connection is closed and the answer is discarded.
 	ErrMismatch = errors.New("engine: answer to another request")
-	// ErrUnknownStream means that the engine has no stream of that request ID.
+	// ErrUnknownStream means that the engine has no stream with the request ID.
 	ErrUnknownStream = errors.New("engine: unknown stream")
 )
 
-// StatusError is an answer other than 200.
+// StatusError is an answer with an HTTP status other than 200.
 type StatusError struct {
 	// Status is the HTTP status code.
 	Status int
@@ -27,7 +28,7 @@
 	Body []byte
 }
 
-// Error describes the answer by its status only: the body may hold a prompt.
+// Error describes the answer by its status only, because the body may contain a prompt.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("engine: answered with status %d", e.Status)
 }
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -17,27 +17,27 @@
 )
 
 var (
-	// ErrIncarnation means that the engine is not in the incarnation that the
-	// order was made for. The order was not sent.
-	ErrIncarnation = errors.New("engine: another incarnation")
-	// ErrNoAnswer means that it is not known whether the engine has the order.
-	ErrNoAnswer = errors.New("engine: no answer")
-	// ErrUnknownOrder means that the engine has not seen the order so far. It
-	// may still come.
+	// ErrIncarnationMismatch means that the engine is not in the incarnation that the
+	// order was created for. The order was not sent.
+	ErrIncarnationMismatch = errors.New("engine: incarnation mismatch")
+	// ErrNoAnswer means that it is unknown whether the engine has received the order.
+	ErrNoAnswer = errors.New("engine: no valid answer")
+	// ErrUnknownOrder means that the engine has not received the order yet. The order
+	// may still arrive.
 	ErrUnknownOrder = errors.New("engine: unknown order")
 )
 
 // Limits of one exchange about an order.
 const (
-	// DefaultOrderTimeout bounds one exchange.
+	// DefaultOrderTimeout is the default of OrderClient.Timeout.
 	DefaultOrderTimeout = 2 * time.Second
-	// maxOrderAnswer bounds an answer's size in bytes.
-	maxOrderAnswer = 4 << 20
+	// maxOrderAnswerBytes bounds the size of an answer.
+	maxOrderAnswerBytes = 4 << 20
 )
 
 // OrderClient sends orders to engines. The zero value is ready for use.
 type OrderClient struct {
-	// Timeout bounds one exchange. The default is DefaultOrderTimeout.
+	// Timeout bounds one exchange. The default is DefaultOrderTimeout, 2s.
 	Timeout time.Duration
 	// TLS is used for engines with an https address.
 	TLS transport.TLS
@@ -45,15 +45,15 @@
 
 // Send sends an order to the engine at base if it is in the given incarnation.
 //
-// An engine forgets the orders it has seen when it restarts. An order that a
-// paused planner sends after the restart would be carried out a second time and
-// fill memory that is counted free. So the order goes out on a connection on
-// which the engine has just named its incarnation: a connection ends with the
-// process at its other end, so the order reaches this incarnation or none.
+// An engine loses its record of received orders when it restarts. An order that a
+// paused planner sends after the restart would be executed a second time and occupy
+// memory that is accounted as free. The order is therefore sent on a connection on
+// which the engine has just reported its incarnation: the connection ends with the
+// engine's process, so the order reaches this incarnation or none.
 //
-// Errors wrap ErrIncarnation, when the order was not sent, or ErrNoAnswer.
+// Errors wrap ErrIncarnationMismatch, if the order was not sent, or ErrNoAnswer.
 func (c *OrderClient) Send(ctx context.Context, base, incarnation string, order Order) (OrderStatus, error) {
-	ctx, cancel := c.bound(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	conn, err := c.dialOnce(ctx, base)
 	if err != nil {
@@ -65,7 +65,7 @@
 		return OrderStatus{}, err
 	}
 	if load.Incarnation != incarnation {
-		return OrderStatus{}, errors.Wrapf(ErrIncarnation, "%s is in %q", order.OrderID, load.Incarnation)
+		return OrderStatus{}, errors.Wrapf(ErrIncarnationMismatch, "order %s was not sent: the engine reports incarnation %q", order.OrderID, load.Incarnation)
 	}
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -74,10 +74,10 @@
 	return conn.post(ctx, base+"/v1/orders", body, order.OrderID)
 }
 
-// Status asks for the state of an order. Errors wrap ErrUnknownOrder or
+// Status requests the status of an order. Errors wrap ErrUnknownOrder or
 // ErrNoAnswer.
 func (c *OrderClient) Status(ctx context.Context, base, orderID string) (OrderStatus, error) {
-	ctx, cancel := c.bound(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	conn, err := c.dialOnce(ctx, base)
 	if err != nil {
@@ -92,9 +92,9 @@
 	return status, err
 }
 
-// Report reads the engine's load report on a connection of its own.
+// Report reads the engine's load report on a new connection. Errors wrap ErrNoAnswer.
 func (c *OrderClient) Report(ctx context.Context, base string) (Load, error) {
-	ctx, cancel := c.bound(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	conn, err := c.dialOnce(ctx, base)
 	if err != nil {
@@ -106,7 +106,7 @@
 	return load, err
 }
 
-func (c *OrderClient) bound(ctx context.Context) (context.Context, context.CancelFunc) {
+func (c *OrderClient) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	timeout := c.Timeout
 	if timeout <= 0 {
 		timeout = DefaultOrderTimeout
@@ -114,17 +114,17 @@
 	return context.WithTimeout(ctx, timeout)
 }
 
-// connection is an HTTP client that has exactly one connection. http.Transport
-// by itself dials again when a kept connection turns out to be closed, which
-// would carry an order to the engine's next incarnation.
+// connection is an HTTP client that has exactly one connection. By default,
+// http.Transport dials again when a kept connection turns out to be closed, which
+// could deliver an order to the engine's next incarnation.
 type connection struct {
 	client    *http.Client
 	transport *http.Transport
 	conn      net.Conn
 }
 
-// errDialedTwice stops the transport from opening a second connection.
-var errDialedTwice = errors.New("engine: one connection only")
+// errDialedTwice prevents the transport from opening a second connection.
+var errDialedTwice = errors.New("engine: the only connection for this exchange was already used")
 
 func (c *OrderClient) dialOnce(ctx context.Context, base string) (*connection, error) {
 	target, err := url.Parse(base)
@@ -180,26 +180,26 @@
 		status = OrderStatus{OrderID: orderID, State: OrderRefused, Reason: "old fencing number"}
 	}
 	if status.OrderID != orderID {
-		return OrderStatus{}, errors.Wrapf(ErrNoAnswer, "asked about %q, answered about %q", orderID, status.OrderID)
+		return OrderStatus{}, errors.Wrapf(ErrNoAnswer, "requested order %q, but the engine answered for order %q", orderID, status.OrderID)
 	}
 	return status, nil
 }
 
-// exchange runs a request and decodes its answer. The status code is returned
-// even when the answer is an error.
+// exchange sends a request and decodes its answer. The status code is returned
+// even if the answer is an error. It is 0 if no complete answer was received.
 func (c *connection) exchange(request *http.Request, into any) (int, error) {
 	response, err := c.client.Do(request)
 	if err != nil {
 		return 0, errors.Wrap(ErrNoAnswer, err.Error())
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxOrderAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxOrderAnswerBytes))
 	if err != nil {
 		return 0, errors.Wrap(ErrNoAnswer, err.Error())
 	}
 	decodeErr := json.Unmarshal(data, into)
 	if response.StatusCode != http.StatusOK {
-		return response.StatusCode, errors.Wrapf(ErrNoAnswer, "status %d", response.StatusCode)
+		return response.StatusCode, errors.Wrapf(ErrNoAnswer, "the engine answered with status %d", response.StatusCode)
 	}
 	if decodeErr != nil {
 		return response.StatusCode, errors.Wrap(ErrNoAnswer, decodeErr.Error())
--- a/internal/engine/poller/doc.go
+++ b/internal/engine/poller/doc.go
@@ -1,3 +1,3 @@
-// Package poller reads the load reports of the engines in force and publishes
-// what they say as one snapshot.
+// Package poller reads the load reports of the engines in the active configuration and
+// publishes their state as one snapshot.
 package poller
--- a/internal/engine/poller/poller.go
+++ b/internal/engine/poller/poller.go
@@ -14,14 +14,14 @@
 const (
 	// DefaultInterval is the default of Options.Interval.
 	DefaultInterval = 500 * time.Millisecond
-	// publishEvery is the least time between two snapshots. With one for each
-	// report, the work would grow with the square of the number of engines.
-	publishEvery = 25 * time.Millisecond
+	// publishInterval is the minimum time between two snapshots. With a snapshot for
+	// each report, the work would grow with the square of the number of engines.
+	publishInterval = 25 * time.Millisecond
 	// DefaultMaxAge is the default of Options.MaxAge.
 	DefaultMaxAge = 2 * time.Second
 )
 
-// Source reads one engine's load report. *engine.Client is one.
+// Source reads load reports. *engine.Client implements it.
 type Source interface {
 	// Load reads the report of the engine at a base address.
 	Load(ctx context.Context, baseURL string) (engine.Load, error)
@@ -31,36 +31,36 @@
 type Options struct {
 	// Source reads the reports.
 	Source Source
-	// Config returns the configuration in force, or nil.
+	// Config returns the active configuration, or nil if there is none.
 	Config func() *configstate.Snapshot
-	// Leaving reports whether something else than the engine's report says that
-	// the engine at an address "IP:port" is leaving, such as the VM list. It may
-	// be nil and must not block.
+	// Leaving reports whether a source other than the engine's report, such as the
+	// VM list, marks the engine at an address "IP:port" as leaving. It may be nil
+	// and must not block.
 	Leaving func(address string) bool
-	// Interval is the time between two reports of an engine. The default is
-	// 500ms.
+	// Interval is the time between two requests for an engine's report. The default
+	// is 500ms.
 	Interval time.Duration
-	// MaxAge is how old the last report may be before the engine counts as
+	// MaxAge is the age of the last report above which the engine counts as
 	// unreachable. The default is 2s.
 	MaxAge time.Duration
 }
 
-// Poller owns the state of the engines in one goroutine. Its snapshots may be
-// read from any.
+// Poller owns the state of the engines in the goroutine of Run. Its snapshots may be
+// read from any goroutine.
 type Poller struct {
 	options Options
 	fleet   atomic.Pointer[route.Fleet]
-	states  map[string]*state
+	states  map[string]*engineState
 	reports chan report
 }
 
-// state is the last report of one engine.
-type state struct {
-	url     string
-	asking  bool
-	load    engine.Load
-	at      time.Time
-	arrived bool
+// engineState is the last accepted report of one engine.
+type engineState struct {
+	url        string
+	pending    bool
+	load       engine.Load
+	receivedAt time.Time
+	received   bool
 }
 
 // report is the result of one request for a report.
@@ -71,7 +71,7 @@
 	err  error
 }
 
-// New returns a poller. Run makes it work.
+// New returns a poller. It polls only while Run executes.
 func New(o Options) *Poller {
 	if o.Leaving == nil {
 		o.Leaving = func(string) bool { return false }
@@ -82,12 +82,12 @@
 	if o.MaxAge == 0 {
 		o.MaxAge = DefaultMaxAge
 	}
-	p := &Poller{options: o, states: make(map[string]*state), reports: make(chan report)}
+	p := &Poller{options: o, states: make(map[string]*engineState), reports: make(chan report)}
 	p.fleet.Store(&route.Fleet{})
 	return p
 }
 
-// Fleet returns the newest snapshot. It is never nil.
+// Fleet returns the most recent snapshot. It is never nil.
 func (p *Poller) Fleet() *route.Fleet {
 	return p.fleet.Load()
 }
@@ -96,19 +96,19 @@
 func (p *Poller) Run(ctx context.Context) error {
 	ticker := time.NewTicker(p.options.Interval)
 	defer ticker.Stop()
-	publisher := time.NewTicker(publishEvery)
+	publisher := time.NewTicker(publishInterval)
 	defer publisher.Stop()
 	changed := false
-	p.ask(ctx)
+	p.requestReports(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
-			p.ask(ctx)
+			p.requestReports(ctx)
 			changed = true
 		case r := <-p.reports:
-			p.take(r, time.Now())
+			p.accept(r, time.Now())
 			changed = true
 		case <-publisher.C:
 			if changed {
@@ -119,15 +119,15 @@
 	}
 }
 
-// ask starts a request to each engine that has none under way, so that one
-// silent engine delays nobody else's report.
-func (p *Poller) ask(ctx context.Context) {
+// requestReports starts a request to each engine that has no pending one. Requests run
+// concurrently, so that a silent engine does not delay the reports of the others.
+func (p *Poller) requestReports(ctx context.Context) {
 	for _, e := range p.engines() {
 		s := p.state(e)
-		if s.asking {
+		if s.pending {
 			continue
 		}
-		s.asking = true
+		s.pending = true
 		go p.fetch(ctx, e.Name, e.URL)
 	}
 }
@@ -140,33 +140,34 @@
 	}
 }
 
-// state returns an engine's state, afresh if its address has changed.
-func (p *Poller) state(e document.Engine) *state {
+// state returns an engine's state. A new engine, or one whose address has changed, gets
+// an empty state.
+func (p *Poller) state(e document.Engine) *engineState {
 	s := p.states[e.Name]
 	if s == nil || s.url != e.URL {
-		s = &state{url: e.URL}
+		s = &engineState{url: e.URL}
 		p.states[e.Name] = s
 	}
 	return s
 }
 
-// take keeps a report unless it is older than the one at hand. Reports can
-// overtake each other, and an engine that shares an address with one that was
-// replaced answers under another name.
-func (p *Poller) take(r report, now time.Time) {
+// accept stores a report unless it is older than the stored one or comes from another
+// engine. Reports may arrive out of order, and an engine that has taken over the address
+// of a replaced one answers under another name.
+func (p *Poller) accept(r report, now time.Time) {
 	s := p.states[r.name]
 	if s == nil || s.url != r.url {
 		return
 	}
-	s.asking = false
+	s.pending = false
 	if r.err != nil || r.load.Engine != r.name {
 		return
 	}
-	same := s.arrived && s.load.Incarnation == r.load.Incarnation
+	same := s.received && s.load.Incarnation == r.load.Incarnation
 	if same && r.load.Sequence < s.load.Sequence {
 		return
 	}
-	s.load, s.at, s.arrived = r.load, now, true
+	s.load, s.receivedAt, s.received = r.load, now, true
 }
 
 func (p *Poller) engines() []document.Engine {
@@ -177,11 +178,12 @@
 	return config.Document.Engines
 }
 
-// publish makes a snapshot of the engines in force and forgets the others.
+// publish stores a snapshot of the engines in the active configuration and drops the
+// state of all others.
 func (p *Poller) publish(now time.Time) {
 	engines := p.engines()
 	fleet := &route.Fleet{Engines: make([]route.Engine, 0, len(engines))}
-	kept := make(map[string]*state, len(engines))
+	kept := make(map[string]*engineState, len(engines))
 	for _, e := range engines {
 		s := p.state(e)
 		kept[e.Name] = s
@@ -193,17 +195,17 @@
 	p.fleet.Store(fleet)
 }
 
-func snapshot(e document.Engine, s *state, now time.Time, maxAge time.Duration) route.Engine {
+func snapshot(e document.Engine, s *engineState, now time.Time, maxAge time.Duration) route.Engine {
 	out := route.Engine{Name: e.Name, URL: e.URL, FailureDomain: e.FailureDomain}
-	if !s.arrived {
+	if !s.received {
 		return out
 	}
 	out.Incarnation = s.load.Incarnation
-	out.Reachable = now.Sub(s.at) <= maxAge
+	out.Reachable = now.Sub(s.receivedAt) <= maxAge
 	out.Leaving = s.load.Draining || e.Draining
 	out.Running = s.load.Running
 	out.Waiting = s.load.Waiting
-	out.ReportedAt = s.at
+	out.ReportedAt = s.receivedAt
 	out.Ready = make(map[route.Item][]string)
 	for _, r := range s.load.Resident {
 		if r.State != engine.ItemReady {
--- a/internal/engine/poller/poller_test.go
+++ b/internal/engine/poller/poller_test.go
@@ -15,15 +15,15 @@
 	"github.com/chestnutarch/chestnutarch/internal/route"
 )
 
-// source gives reports, and keeps those of silent engines waiting.
-type source struct {
+// fakeSource returns fixed reports. For silent engines it blocks until the context ends.
+type fakeSource struct {
 	mu     sync.Mutex
 	loads  map[string]engine.Load
 	silent map[string]bool
 }
 
 // Load implements Source.
-func (s *source) Load(ctx context.Context, baseURL string) (engine.Load, error) {
+func (s *fakeSource) Load(ctx context.Context, baseURL string) (engine.Load, error) {
 	s.mu.Lock()
 	load, silent := s.loads[baseURL], s.silent[baseURL]
 	s.mu.Unlock()
@@ -34,13 +34,13 @@
 	return load, nil
 }
 
-func (s *source) set(change func()) {
+func (s *fakeSource) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-func loadOf(name, incarnation string, sequence int64, running int) engine.Load {
+func newLoad(name, incarnation string, sequence int64, running int) engine.Load {
 	item := engine.Item{Model: "m", Version: "v"}
 	return engine.Load{
 		Engine: name, Incarnation: incarnation, Sequence: sequence, Running: running,
@@ -48,37 +48,38 @@
 	}
 }
 
-// start polls two engines.
-func start(t *testing.T, leaving func(string) bool) (*Poller, *source) {
+// startPoller polls two engines.
+func startPoller(t *testing.T, leaving func(string) bool) (*Poller, *fakeSource) {
 	doc := &document.Document{Engines: []document.Engine{{Name: "a", URL: "http://10.0.0.1:80"}, {Name: "b", URL: "http://10.0.0.2:80"}}}
 	config := configstate.NewSnapshot(1, "c", "d", doc, nil)
-	s := &source{silent: make(map[string]bool), loads: map[string]engine.Load{
-		"http://10.0.0.1:80": loadOf("a", "i1", 5, 3), "http://10.0.0.2:80": loadOf("b", "i1", 5, 3),
+	s := &fakeSource{silent: make(map[string]bool), loads: map[string]engine.Load{
+		"http://10.0.0.1:80": newLoad("a", "i1", 5, 3), "http://10.0.0.2:80": newLoad("b", "i1", 5, 3),
 	}}
 	p := New(Options{Source: s, Config: func() *configstate.Snapshot { return config }, Leaving: leaving})
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		_ = p.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-stopped
 	})
 	return p, s
 }
 
-// One engine's connection goes silent. The others' reports must go on, and the silent
-// one must soon count as unreachable, since new work would be lost there.
-func TestSilentEngineDelaysNobody(t *testing.T) {
+// One engine's connection goes silent. The reports of the others must continue, and the
+// silent engine must count as unreachable after MaxAge, because new work would be lost
+// there.
+func TestSilentEngineDoesNotDelayOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, s := start(t, nil)
+		p, s := startPoller(t, nil)
 		time.Sleep(time.Second)
 		require.True(t, p.Fleet().Engines[0].Reachable)
 		s.set(func() {
 			s.silent["http://10.0.0.1:80"] = true
-			s.loads["http://10.0.0.2:80"] = loadOf("b", "i1", 6, 9)
+			s.loads["http://10.0.0.2:80"] = newLoad("b", "i1", 6, 9)
 		})
 		time.Sleep(DefaultMaxAge + 2*DefaultInterval)
 		require.False(t, p.Fleet().Engines[0].Reachable)
@@ -87,19 +88,19 @@
 	})
 }
 
-// A report that was overtaken, or another engine's at a reused address, must not
-// replace what is known. A restarted engine counts from 1 again.
+// A report that arrives out of order, or comes from another engine at a reused address,
+// must not replace the stored one. The sequence of a restarted engine begins at 1 again.
 func TestReportsOutOfOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, s := start(t, nil)
+		p, s := startPoller(t, nil)
 		time.Sleep(time.Second)
 		for _, c := range []struct {
 			load    engine.Load
 			running int
 		}{
-			{loadOf("a", "i1", 4, 7), 3},
-			{loadOf("other", "i9", 99, 8), 3},
-			{loadOf("a", "i2", 1, 1), 1},
+			{newLoad("a", "i1", 4, 7), 3},
+			{newLoad("other", "i9", 99, 8), 3},
+			{newLoad("a", "i2", 1, 1), 1},
 		} {
 			s.set(func() { s.loads["http://10.0.0.1:80"] = c.load })
 			time.Sleep(time.Second)
@@ -108,10 +109,10 @@
 	})
 }
 
-// The VM list knows of a leaving engine before the engine says so.
-func TestListSaysLeaving(t *testing.T) {
+// The VM list marks an engine as leaving before the engine reports it.
+func TestVMListMarksEngineAsLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, _ := start(t, func(address string) bool { return address == "10.0.0.2:80" })
+		p, _ := startPoller(t, func(address string) bool { return address == "10.0.0.2:80" })
 		time.Sleep(time.Second)
 		require.False(t, p.Fleet().Engines[0].Leaving)
 		require.True(t, p.Fleet().Engines[1].Leaving)
--- a/internal/engine/sse.go
+++ b/internal/engine/sse.go
@@ -14,7 +14,7 @@
 	maxLineBytes = 256 << 10
 	// maxEventBytes bounds the data of one event.
 	maxEventBytes = 1 << 20
-	// readerBytes is the read buffer of one stream.
+	// readerBytes is the size of the read buffer of one stream.
 	readerBytes = 4 << 10
 )
 
@@ -25,7 +25,7 @@
 	ErrEventID = errors.New("engine: malformed event ID")
 )
 
-// rawEvent is one server-sent event as it came.
+// rawEvent is one server-sent event as received, before it is checked.
 type rawEvent struct {
 	id    int64
 	hasID bool
@@ -33,9 +33,9 @@
 	data  []byte
 }
 
-// eventReader reads server-sent events as the HTML standard, section 9.2,
-// defines them. Only an event that its blank line has ended is returned, so that
-// a truncated one is never taken for whole.
+// eventReader reads server-sent events as defined by the HTML standard, section 9.2.
+// It returns an event only after its terminating blank line, so that a truncated event
+// is never returned as complete.
 type eventReader struct {
 	r *bufio.Reader
 }
@@ -44,8 +44,8 @@
 	return &eventReader{r: bufio.NewReaderSize(r, readerBytes)}
 }
 
-// next returns the next whole event that has data. It returns io.EOF at the end
-// and io.ErrUnexpectedEOF if the stream ends within an event.
+// next returns the next complete event that has data. It returns io.EOF at the end of
+// the stream and io.ErrUnexpectedEOF if the stream ends within an event.
 func (e *eventReader) next() (rawEvent, error) {
 	var event rawEvent
 	started := false
@@ -71,7 +71,7 @@
 	}
 }
 
-// line returns a line without its end. The slice is valid until the next read.
+// line returns a line without its line ending. The slice is valid until the next read.
 func (e *eventReader) line() ([]byte, error) {
 	line, err := e.r.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
@@ -84,22 +84,22 @@
 	return bytes.TrimSuffix(line, []byte("\r")), nil
 }
 
-// longLine reads the rest of a line that is larger than the buffer.
+// longLine reads the rest of a line that does not fit into the read buffer.
 func (e *eventReader) longLine(start []byte) ([]byte, error) {
-	whole := bytes.Clone(start)
+	line := bytes.Clone(start)
 	for {
 		part, err := e.r.ReadSlice('\n')
-		whole = append(whole, part...)
-		if len(whole) > maxLineBytes {
+		line = append(line, part...)
+		if len(line) > maxLineBytes {
 			return nil, ErrEventTooLarge
 		}
 		if err != bufio.ErrBufferFull {
-			return whole, err
+			return line, err
 		}
 	}
 }
 
-// add takes one field line into the event.
+// add parses one field line and adds it to the event.
 func (e *rawEvent) add(line []byte) error {
 	field, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
--- a/internal/engine/sse_test.go
+++ b/internal/engine/sse_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzEventReader feeds bytes from outside to the event reader. It must neither
-// panic nor grow without bound, and must never return an event that its blank
-// line has not ended.
+// FuzzEventReader reads arbitrary bytes as an event stream. The reader must neither
+// panic nor grow without bound, and must never return an event without its terminating
+// blank line.
 func FuzzEventReader(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: {\"id\":\"r\"}\n\n"))
 	f.Add([]byte("event: error\r\ndata: a\r\ndata: b\r\n\r\n"))
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -13,58 +13,59 @@
 	"github.com/chestnutarch/chestnutarch/internal/document"
 )
 
-// doneData is the data of the event that ends a whole stream.
+// doneData is the data of the event that ends a complete stream.
 const doneData = "[DONE]"
 
 // Event is one event of a stream.
 type Event struct {
-	// ID counts the stream's events from 1, without gaps. It is 0 for an end
+	// ID numbers the stream's events from 1, without gaps. It is 0 for a final event
 	// that the engine did not number.
 	ID int64
-	// Data is the event's JSON.
+	// Data is the event's JSON, or "[DONE]" for the final event.
 	Data []byte
-	// Done means that the stream is whole and that this is its end.
+	// Done means that this is the final event and the stream is complete.
 	Done bool
 }
 
-// Stream is a completion's events in order. One goroutine reads and closes it.
+// Stream is the ordered sequence of a completion's events. It must be read and closed by
+// one goroutine.
 type Stream struct {
-	marks
+	activity
 	client    *Client
 	host      string
 	requestID string
 	resp      *http.Response
-	x         *exchange
+	exchange  *exchange
 	events    *eventReader
 	cancel    context.CancelFunc
-	silence   *time.Timer
-	last      int64
+	idleTimer *time.Timer
+	lastID    int64
 	done      bool
 }
 
-// opening describes an exchange whose answer is a stream.
-type opening struct {
+// openRequest describes an exchange whose answer is a stream.
+type openRequest struct {
 	method, target string
 	header         http.Header
 	body           []byte
 	requestID      string
 	afterID        int64
-	// limit is how long the answer's header may take.
-	limit time.Duration
+	// headerTimeout bounds the time until the header of the answer.
+	headerTimeout time.Duration
 }
 
-func (c *Client) open(ctx context.Context, o opening) (*Stream, error) {
+func (c *Client) open(ctx context.Context, o openRequest) (*Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	s := &Stream{client: c, host: document.Address(o.target), requestID: o.requestID, cancel: cancel, last: o.afterID}
-	s.heard()
-	s.silence = time.AfterFunc(o.limit, func() { c.silent(s) })
+	s := &Stream{client: c, host: document.Address(o.target), requestID: o.requestID, cancel: cancel, lastID: o.afterID}
+	s.recordActivity()
+	s.idleTimer = time.AfterFunc(o.headerTimeout, func() { c.breakIdleStreams(s) })
 	c.streams.add(s)
 	resp, x, err := c.exchange(ctx, o.method, o.target, o.header, o.body)
 	if err != nil {
 		s.release()
 		return nil, err
 	}
-	s.resp, s.x, s.events = resp, x, newEventReader(resp.Body)
+	s.resp, s.exchange, s.events = resp, x, newEventReader(resp.Body)
 	if err := s.checkHeader(); err != nil {
 		s.Close()
 		return nil, err
@@ -87,23 +88,24 @@
 	return nil
 }
 
-// Next returns the next event. After the one with Done it returns io.EOF. A
-// stream that ends in any other way returns an error that wraps ErrBroken or
-// ErrMismatch: what came so far is not the whole answer. It may then be resumed
-// after Last.
+// Next returns the next event. After the event with Done it returns io.EOF. If the
+// stream ends in any other way, the error wraps ErrBroken or ErrMismatch and the events
+// so far are not the complete answer. The stream may then be resumed after the last
+// event returned.
 func (s *Stream) Next() (Event, error) {
 	if s.done {
 		return Event{}, io.EOF
 	}
 	for {
-		s.silence.Reset(s.client.idleLimit)
+		s.idleTimer.Reset(s.client.idleLimit)
 		raw, err := s.events.next()
 		if err != nil {
 			return Event{}, broken(err)
 		}
-		// A reader that takes its time is not the engine's silence.
-		s.silence.Stop()
-		s.heard()
+		// The time that the reader takes between events must not count as idle time
+		// of the engine.
+		s.idleTimer.Stop()
+		s.recordActivity()
 		event, fresh, err := s.accept(raw)
 		if err != nil {
 			return Event{}, err
@@ -114,16 +116,16 @@
 	}
 }
 
-// accept checks that an event is this stream's next one. An event that came
-// before is dropped, and one that skips others is refused: passing it on would
-// leave a hole in the answer that nobody downstream could see.
+// accept checks that an event is this stream's next one. A repeated event is dropped. An
+// event that skips others is rejected, because passing it on would leave a gap in the
+// answer that nobody downstream could detect.
 func (s *Stream) accept(raw rawEvent) (Event, bool, error) {
 	if raw.name == "error" {
-		return Event{}, false, errors.Wrap(ErrBroken, "the engine reported an error")
+		return Event{}, false, errors.Wrap(ErrBroken, "the engine sent an error event")
 	}
 	if string(raw.data) == doneData {
-		if raw.hasID && raw.id != s.last+1 {
-			return Event{}, false, errors.Wrap(ErrBroken, "events are missing before the end")
+		if raw.hasID && raw.id != s.lastID+1 {
+			return Event{}, false, errors.Wrap(ErrBroken, "events are missing before the final event")
 		}
 		s.done = true
 		return Event{ID: raw.id, Data: raw.data, Done: true}, true, nil
@@ -131,13 +133,13 @@
 	if err := s.checkChunk(raw); err != nil {
 		return Event{}, false, err
 	}
-	if raw.id <= s.last {
+	if raw.id <= s.lastID {
 		return Event{}, false, nil
 	}
-	if raw.id != s.last+1 {
-		return Event{}, false, errors.Wrap(ErrBroken, "events are missing")
+	if raw.id != s.lastID+1 {
+		return Event{}, false, errors.Wrap(ErrBroken, "events are missing before the received event")
 	}
-	s.last = raw.id
+	s.lastID = raw.id
 	return Event{ID: raw.id, Data: raw.data}, true, nil
 }
 
@@ -145,7 +147,7 @@
 	if !raw.hasID {
 		return errors.Wrap(ErrBroken, "event without an ID")
 	}
-	if s.named(raw.data) {
+	if s.beginsWithID(raw.data) {
 		return nil
 	}
 	var chunk struct {
@@ -160,9 +162,9 @@
 	return nil
 }
 
-// named reports whether a chunk is valid JSON that begins with the stream's ID, as
-// most engines write it. It saves taking the chunk apart.
-func (s *Stream) named(data []byte) bool {
+// beginsWithID reports whether a chunk is valid JSON that begins with the stream's ID, in
+// the form that most engines write. It avoids decoding the chunk.
+func (s *Stream) beginsWithID(data []byte) bool {
 	rest, ok := bytes.CutPrefix(data, []byte(`{"id":"`))
 	if !ok || len(rest) <= len(s.requestID) {
 		return false
@@ -173,29 +175,29 @@
 
 // Last returns the ID of the last event that Next has returned.
 func (s *Stream) Last() int64 {
-	return s.last
+	return s.lastID
 }
 
-// Close ends the exchange. Unless the stream was whole, its connection is closed
-// too. It does not cancel the generation: see Client.Cancel.
+// Close ends the exchange. Unless the stream is complete, its connection is closed. It
+// does not cancel the generation: see Client.Cancel.
 func (s *Stream) Close() {
 	if s.done {
-		s.x.end(s.resp)
+		s.exchange.drain(s.resp)
 	} else {
-		s.x.abandon()
+		s.exchange.abandon()
 		_ = s.resp.Body.Close()
 	}
 	s.release()
 }
 
-// Silenced reports whether the stream was broken because it, or another one of
-// the same engine, went silent.
-func (s *Stream) Silenced() bool {
-	return s.silenced.Load()
+// IdleTimedOut reports whether the stream was cancelled because it, or another stream of
+// the same engine, reached its idle limit.
+func (s *Stream) IdleTimedOut() bool {
+	return s.idleTimedOut.Load()
 }
 
 func (s *Stream) release() {
-	s.silence.Stop()
+	s.idleTimer.Stop()
 	s.client.streams.remove(s)
 	s.cancel()
 }
--- a/internal/engine/stream_test.go
+++ b/internal/engine/stream_test.go
@@ -14,13 +14,13 @@
 
 const testID = "r-1"
 
-// chunk returns one event of the stream of a request.
+// chunk returns one event of a request's stream.
 func chunk(id int, requestID string) string {
 	return fmt.Sprintf("id: %d\ndata: {\"id\":%q,\"n\":%d}\n\n", id, requestID, id)
 }
 
-// serve runs an engine that echoes a request ID and writes a body.
-func serve(t *testing.T, echo, body string) *httptest.Server {
+// startEngine runs an engine that echoes a request ID and writes the body.
+func startEngine(t *testing.T, echo, body string) *httptest.Server {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(headerRequestID, echo)
@@ -47,7 +47,7 @@
 
 func complete(t *testing.T, echo, body string) ([]int64, error) {
 	t.Helper()
-	server := serve(t, echo, body)
+	server := startEngine(t, echo, body)
 	c := NewClient(ClientOptions{})
 	defer c.Close()
 	s, err := c.Complete(context.Background(), Request{BaseURL: server.URL, Path: "/v1/completions", RequestID: testID, Body: []byte("{}")})
@@ -58,16 +58,16 @@
 	return readAll(s)
 }
 
-func TestWholeStream(t *testing.T) {
+func TestCompleteStream(t *testing.T) {
 	ids, err := complete(t, testID, chunk(1, testID)+": heartbeat\n\n"+chunk(2, testID)+"id: 3\ndata: [DONE]\n\n")
 	require.NoError(t, err)
 	require.Equal(t, []int64{1, 2}, ids)
 }
 
-// Engines that restart, and connections that lose their place, send answers
-// with a hole, with another request's events, or without an end. A caller would
-// take what arrived for the whole answer, or read somebody else's.
-func TestFaultyStreamsAreNotTakenForWhole(t *testing.T) {
+// Restarting engines and faulty connections deliver answers with a gap, with another
+// request's events, or without an end. Guards against accepting a partial answer as
+// complete, and against reading another request's answer.
+func TestFaultyStreamsAreRejected(t *testing.T) {
 	done := "data: [DONE]\n\n"
 	for name, c := range map[string]struct {
 		echo, body string
@@ -93,9 +93,9 @@
 	}
 }
 
-// An engine's connection can go silent without a reset, because something on
-// the way has forgotten it. The caller would wait for ever.
-func TestSilentStreamBreaks(t *testing.T) {
+// A connection goes silent without a reset, as when a network component on the path
+// drops its state. Without an idle limit the caller would wait for ever.
+func TestSilentStreamReachesIdleLimit(t *testing.T) {
 	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(headerRequestID, testID)
@@ -115,10 +115,10 @@
 	require.Equal(t, int64(1), s.Last())
 }
 
-// Nobody listens at the address: nothing was sent, and saying otherwise would
-// make a caller fear a run that cannot have been.
-func TestNothingSent(t *testing.T) {
-	server := serve(t, testID, "")
+// Nothing listens at the address, so nothing was sent. Any other error would leave open
+// whether the request has run.
+func TestRefusedConnectionIsNotSent(t *testing.T) {
+	server := startEngine(t, testID, "")
 	address := server.URL
 	server.Close()
 	_, err := NewClient(ClientOptions{}).Complete(context.Background(), Request{BaseURL: address, RequestID: testID})
@@ -134,10 +134,11 @@
 	require.ErrorIs(t, c.Cancel(context.Background(), server.URL, testID), ErrUnknownStream)
 }
 
-// The way to an engine has forgotten all connections. One stream finds it out;
-// the others must not wait for their own limits, nor may a request be given an
-// idle connection that is as dead.
-func TestSiblingsOfASilentStreamAreBroken(t *testing.T) {
+// The network has dropped the state of all connections to an engine. When one stream
+// reaches its idle limit, the others that are idle must be cancelled without waiting for
+// their own limits; a stream that has just received an event must continue. Idle pooled
+// connections are dead as well, and a request must not be sent on one.
+func TestIdleSiblingsOfASilentStreamAreCancelled(t *testing.T) {
 	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(headerRequestID, testID)
@@ -158,9 +159,9 @@
 		open = append(open, s)
 	}
 	open[1].lastByte.Store(time.Now().Add(-30 * time.Second).UnixNano())
-	c.silent(open[0])
+	c.breakIdleStreams(open[0])
 	_, err := open[1].Next()
 	require.ErrorIs(t, err, ErrBroken)
-	require.True(t, open[1].Silenced())
-	require.False(t, open[2].Silenced())
+	require.True(t, open[1].IdleTimedOut())
+	require.False(t, open[2].IdleTimedOut())
 }
