--- a/internal/service/client.go
+++ b/internal/service/client.go
@@ -19,49 +19,48 @@
 const headerRequestID = "X-Request-Id"
 
 const (
-	// MaxAnswerBytes bounds the body of an answer.
+	// MaxAnswerBytes bounds the size of an answer's body.
 	MaxAnswerBytes = 4 << 20
-	// DefaultTimeout bounds a call that gives no timeout of its own.
+	// DefaultTimeout is the default of Call.Timeout.
 	DefaultTimeout = 30 * time.Second
 )
 
-// requestHeaders are the headers that pass from a caller to a service. All
-// others stay behind: a key could travel in a header that nobody thought of.
-// Idempotency-Key is not among them, because net/http takes it for leave to
-// resend the request by itself.
+// requestHeaders are the headers that are forwarded from a caller to a service. All
+// others are dropped, because any of them could contain a key. Idempotency-Key is not
+// forwarded because net/http treats it as permission to resend the request.
 var requestHeaders = []string{
 	"Accept", "Accept-Language", "Content-Encoding", "Content-Language", "Content-Type", "If-Match", "If-None-Match",
 }
 
-// responseHeaders are the headers that pass from a service to a caller.
+// responseHeaders are the headers that are forwarded from a service to a caller.
 var responseHeaders = []string{
 	"Cache-Control", "Content-Disposition", "Content-Encoding", "Content-Language", "Content-Type", "Etag", "Last-Modified", "Location", "Retry-After", "Vary",
 }
 
 // ClientOptions configures a Client. The zero value takes every default.
 type ClientOptions struct {
-	// Limits says how soon a silent connection is given up.
+	// Limits bounds how long a connection may be silent before it is closed.
 	Limits transport.Limits
-	// Pool bounds the idle connections for calls that may be repeated.
+	// Pool bounds the idle connections that are kept for calls that may be repeated.
 	Pool transport.Pool
 	// TLS is used for services with an https address.
 	TLS transport.TLS
 }
 
-// Client calls plain services. It is safe for concurrent use.
+// Client calls plain HTTP services. It is safe for concurrent use.
 type Client struct {
-	once   http.RoundTripper
-	pooled http.RoundTripper
-	pool   *http.Transport
+	singleUse http.RoundTripper
+	pooled    http.RoundTripper
+	pool      *http.Transport
 }
 
 // NewClient returns a client.
 func NewClient(o ClientOptions) *Client {
 	pool := transport.New(o.Limits, o.Pool, o.TLS)
 	return &Client{
-		once:   otelhttp.NewTransport(transport.NewSingleUse(o.Limits, o.TLS)),
-		pooled: otelhttp.NewTransport(pool),
-		pool:   pool,
+		singleUse: otelhttp.NewTransport(transport.NewSingleUse(o.Limits, o.TLS)),
+		pooled:    otelhttp.NewTransport(pool),
+		pool:      pool,
 	}
 }
 
@@ -80,30 +79,30 @@
 	Path string
 	// RawQuery is the query without its question mark.
 	RawQuery string
-	// Header is the caller's header. Only a few fields of it are passed on.
+	// Header is the caller's header. Only the fields in requestHeaders are forwarded.
 	Header http.Header
-	// Body is the whole body.
+	// Body is the complete body.
 	Body []byte
-	// RequestID is unique for ever. The service echoes it.
+	// RequestID is never reused. The service must echo it.
 	RequestID string
-	// Repeat says whether the call may be sent more than once.
+	// Repeat determines whether the call may be sent more than once.
 	Repeat document.Repeat
 	// Timeout bounds the call. The default is 30s.
 	Timeout time.Duration
 }
 
-// Answer is a whole answer.
+// Answer is a complete answer.
 type Answer struct {
 	// Status is the HTTP status code, of any class.
 	Status int
-	// Header holds the fields that may be passed on to the caller.
+	// Header holds the fields that may be forwarded to the caller.
 	Header http.Header
-	// Body is the whole body.
+	// Body is the complete body.
 	Body []byte
 }
 
-// Call sends a call to one replica, at most once unless it may be repeated, and
-// returns the whole answer. Errors are *CallError.
+// Call sends a call to one replica and returns the complete answer. A call that may not
+// be repeated is sent at most once. Errors are *CallError.
 func (c *Client) Call(ctx context.Context, call Call) (*Answer, error) {
 	if call.Timeout == 0 {
 		call.Timeout = DefaultTimeout
@@ -129,24 +128,24 @@
 	return readAnswer(resp, call.RequestID)
 }
 
-// transport picks the connections for a call. Whatever is not known to be safe
-// to repeat gets a connection of its own.
+// transport returns the transport for a call. A call that is not known to be safe to
+// repeat is sent on a new connection of its own.
 func (c *Client) transport(r document.Repeat) http.RoundTripper {
 	if r == document.RepeatSafe {
 		return c.pooled
 	}
-	return c.once
+	return c.singleUse
 }
 
-// onceBody hides that the body could be read again. http.NewRequest recognises
-// the standard readers and sets GetBody for them, and with GetBody the transport
-// may send the body a second time.
-type onceBody struct {
+// singleReadBody hides the type of the body's reader. http.NewRequest recognises the
+// standard readers and sets GetBody for them, and with GetBody the transport may send
+// the body a second time.
+type singleReadBody struct {
 	io.Reader
 }
 
 // Close does nothing: the body is in memory.
-func (onceBody) Close() error { return nil }
+func (singleReadBody) Close() error { return nil }
 
 func newRequest(ctx context.Context, call Call) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, call.Method, call.BaseURL+call.Path, nil)
@@ -161,7 +160,7 @@
 	}
 	req.Header.Set(headerRequestID, call.RequestID)
 	if len(call.Body) > 0 {
-		req.Body = onceBody{bytes.NewReader(call.Body)}
+		req.Body = singleReadBody{bytes.NewReader(call.Body)}
 		req.ContentLength = int64(len(call.Body))
 	}
 	return req, nil
--- a/internal/service/doc.go
+++ b/internal/service/doc.go
@@ -1,2 +1,3 @@
-// Package service is the client of plain services, whose calls may be impossible to repeat.
+// Package service is the client of plain HTTP services, whose calls may not be safe to
+// repeat.
 package service
--- a/internal/service/errors.go
+++ b/internal/service/errors.go
@@ -9,8 +9,8 @@
 var (
 	// ErrNotRun means that no byte of the call can have reached the service.
 	ErrNotRun = errors.New("service: not run")
-	// ErrUnknown means that the call may have run: its bytes may have reached
-	// the service, and no whole answer to it came back.
+	// ErrUnknown means that the call may have run: some of its bytes may have reached
+	// the service, and no complete answer was received.
 	ErrUnknown = errors.New("service: outcome unknown")
 	// ErrMismatch means that the answer carried another call's request ID.
 	ErrMismatch = errors.New("service: answer to another request")
@@ -18,31 +18,31 @@
 	ErrAnswerTooLarge = errors.New("service: answer too large")
 )
 
-// Outcome says what is known of a call.
+// Outcome is what the client knows about the execution of a call.
 type Outcome int
 
-// A call has one of three outcomes.
+// The outcomes of a call.
 const (
 	Unknown Outcome = iota
 	NotRun
 	Answered
 )
 
-// CallError is a call that brought no answer. It matches ErrNotRun or
-// ErrUnknown with errors.Is, and its cause.
+// CallError is the error of a call without a valid answer. With errors.Is it matches its
+// cause and either ErrNotRun or ErrUnknown.
 type CallError struct {
 	// Outcome is NotRun or Unknown.
 	Outcome Outcome
-	// Cause is what went wrong.
+	// Cause is the underlying error.
 	Cause error
 }
 
-// Error describes the outcome and its cause.
+// Error returns the texts of the outcome and the cause.
 func (e *CallError) Error() string {
 	return fmt.Sprintf("%v: %v", e.sentinel(), e.Cause)
 }
 
-// Unwrap returns the outcome's sentinel and the cause.
+// Unwrap returns the sentinel error of the outcome, and the cause.
 func (e *CallError) Unwrap() []error {
 	return []error{e.sentinel(), e.Cause}
 }
@@ -54,7 +54,8 @@
 	return ErrUnknown
 }
 
-// OutcomeOf returns the outcome that an error of Call stands for.
+// OutcomeOf returns the outcome of a call from the error that Call returned. A nil error
+// means Answered.
 func OutcomeOf(err error) Outcome {
 	if err == nil {
 		return Answered
