--- a/internal/kv/budget.go
+++ b/internal/kv/budget.go
@@ -8,12 +8,14 @@
 	"golang.org/x/time/rate"
 )
 
-// Budget bounds the calls of one process. The platform counts each call, so a
-// flood of status reads must not use up what claims and withdrawals need.
+// Budget bounds the calls of one process with a token bucket. The platform counts
+// each call, so a flood of status reads must not use up the tokens that claims
+// and withdrawals need.
 type Budget struct {
-	// CallsPerSecond is the sustained rate. The default is 200.
+	// CallsPerSecond is the refill rate of the bucket. The default is 200.
 	CallsPerSecond float64
-	// Burst is the number of calls that may be made at once. The default is 100.
+	// Burst is the capacity of the bucket, the number of calls that may be made at
+	// once. The default is 100.
 	Burst int
 }
 
@@ -23,16 +25,16 @@
 	DefaultCallBurst      = 100
 )
 
-// Parts of the burst that calls of a priority must leave for the higher ones.
+// Shares of the burst that calls of a priority leave for higher priorities.
 const (
 	statusReserve        = 0.5
 	configurationReserve = 0.25
 )
 
 type budget struct {
-	mu      sync.Mutex
-	limiter *rate.Limiter
-	perCall time.Duration
+	mu            sync.Mutex
+	limiter       *rate.Limiter
+	tokenInterval time.Duration
 }
 
 func newBudget(b Budget) *budget {
@@ -43,12 +45,12 @@
 		b.Burst = DefaultCallBurst
 	}
 	return &budget{
-		limiter: rate.NewLimiter(rate.Limit(b.CallsPerSecond), b.Burst),
-		perCall: time.Duration(float64(time.Second) / b.CallsPerSecond),
+		limiter:       rate.NewLimiter(rate.Limit(b.CallsPerSecond), b.Burst),
+		tokenInterval: time.Duration(float64(time.Second) / b.CallsPerSecond),
 	}
 }
 
-func (b *budget) reserve(p Priority) float64 {
+func (b *budget) reservedTokens(p Priority) float64 {
 	burst := float64(b.limiter.Burst())
 	switch p {
 	case PriorityStatus:
@@ -60,24 +62,25 @@
 	}
 }
 
-// take returns zero if a call of this priority may go now, else how long to
-// wait before it is worth asking again.
-func (b *budget) take(now time.Time, p Priority) time.Duration {
+// tryAcquire takes a token and returns zero if a call of priority p may be made
+// now. Otherwise it returns how long to wait before trying again.
+func (b *budget) tryAcquire(now time.Time, p Priority) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	missing := b.reserve(p) + 1 - b.limiter.TokensAt(now)
+	missing := b.reservedTokens(p) + 1 - b.limiter.TokensAt(now)
 	if missing > 0 {
-		return max(time.Duration(missing*float64(b.perCall)), time.Millisecond)
+		return max(time.Duration(missing*float64(b.tokenInterval)), time.Millisecond)
 	}
 	b.limiter.AllowN(now, 1)
 	return 0
 }
 
 // wait blocks until the call may be made, or returns a BudgetError once ctx
-// ends. Lower priorities wait while less than their reserve is left.
+// ends. A call waits while it would leave fewer tokens than are reserved for
+// higher priorities.
 func (b *budget) wait(ctx context.Context, p Priority) error {
 	for {
-		pause := b.take(time.Now(), p)
+		pause := b.tryAcquire(time.Now(), p)
 		if pause == 0 {
 			return nil
 		}
--- a/internal/kv/doc.go
+++ b/internal/kv/doc.go
@@ -1,4 +1,4 @@
-// Package kv is the client of the platform's key-value service. It offers what
-// the service promises and nothing more: get, compare-and-swap on one key,
+// Package kv is the client of the platform's key-value service. It offers only
+// operations that the service guarantees: get, compare-and-swap on one key,
 // leases and watches.
 package kv
--- a/internal/kv/export_test.go
+++ b/internal/kv/export_test.go
@@ -1,16 +1,16 @@
 package kv
 
-// Planted faults of Settle, for the oracle to find.
+// Faults to inject into Settle, which the oracle must detect.
 var (
 	UnknownIsFailure = settleFaults{unknownIsFailure: true}
 	UnmovedIsFailure = settleFaults{unmovedIsFailure: true}
 	RefusalIsFailure = settleFaults{refusalIsFailure: true}
 )
 
-// SettleFaults names the type for tests.
+// SettleFaults exports settleFaults for tests.
 type SettleFaults = settleFaults
 
-// WithFaults returns the attempt with rules switched off.
+// WithFaults returns a copy of the attempt with the rules of f disabled.
 func (a Attempt) WithFaults(f SettleFaults) Attempt {
 	a.faults = f
 	return a
--- a/internal/kv/http.go
+++ b/internal/kv/http.go
@@ -27,27 +27,27 @@
 	// Timeout must be zero, since a watch has no end. The default is a client
 	// with its own transport.
 	Client *http.Client
-	// CallTimeout bounds how long the service may be silent in every call but a watch:
-	// before its answer, and within it. The default is 2s.
+	// CallTimeout bounds how long every call but a watch waits without receiving a
+	// byte, both for the start of the answer and within it. The default is 2s.
 	CallTimeout time.Duration
 	// Budget bounds the calls of this process.
 	Budget Budget
-	// Metrics receives the counters kv.calls.KIND. The default is a registry
-	// of its own.
+	// Metrics receives the counters kv.calls.KIND. The default is a new registry
+	// that only this client uses.
 	Metrics metrics.Registry
 }
 
-// DefaultCallTimeout bounds a call if Options does not say otherwise.
+// DefaultCallTimeout is the default of Options.CallTimeout.
 const DefaultCallTimeout = 2 * time.Second
 
-// maxAnswerBytes bounds what is read of one answer: a value in base64 with
-// room for the message around it.
+// maxAnswerBytes bounds the bytes that are read of one answer: a base64-encoded
+// value and the message around it.
 const maxAnswerBytes = 2*MaxValueBytes + 1<<16
 
-// dialTimeout bounds a connection to the service, which is milliseconds away.
+// dialTimeout bounds connecting to the service, whose latency is some milliseconds.
 const dialTimeout = time.Second
 
-// maxErrorText bounds how much of the service's error text is kept.
+// maxErrorText is how many bytes of the service's error text are kept.
 const maxErrorText = 200
 
 // HTTP is a Store over the etcd v3 JSON gateway.
@@ -62,16 +62,16 @@
 
 var _ Store = (*HTTP)(nil)
 
-// NewHTTP returns a client. It makes no call yet. It returns ErrOptions for
-// addresses that are no URLs.
+// NewHTTP returns a client without making a call. It returns ErrOptions if there
+// is no URL, or if one of them is invalid.
 func NewHTTP(o Options) (*HTTP, error) {
 	if len(o.URLs) == 0 {
-		return nil, errors.Wrap(ErrOptions, "no URL")
+		return nil, errors.Wrap(ErrOptions, "no URL given, at least one is required")
 	}
 	for _, raw := range o.URLs {
 		u, err := url.Parse(raw)
 		if err != nil || u.Host == "" {
-			return nil, errors.Wrapf(ErrOptions, "URL %q", raw)
+			return nil, errors.Wrapf(ErrOptions, "invalid URL %q", raw)
 		}
 	}
 	if o.CallTimeout <= 0 {
@@ -84,8 +84,8 @@
 		o.Client = &http.Client{Transport: transport.New(transport.Limits{Connect: dialTimeout}, transport.Pool{}, nil)}
 	}
 	client := *o.Client
-	// A redirect would send a write a second time, to an address that nobody
-	// configured.
+	// Following a redirect would send a write a second time, to an address that
+	// is not configured.
 	client.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return &HTTP{
 		urls:    o.URLs,
@@ -96,7 +96,7 @@
 	}, nil
 }
 
-// call is one kind of call, as the platform counts them.
+// call is a kind of call, as the platform counts them, with its path.
 type call struct {
 	kind string
 	path string
@@ -112,27 +112,28 @@
 	callWatch     = call{kind: "watch", path: "/v3/watch"}
 )
 
-// notSentError wraps a failure that happened before any byte of the request
+// notSentError wraps a failure that occurred before any byte of the request
 // could reach the service.
 type notSentError struct{ cause error }
 
-// Error gives the cause.
+// Error returns the text of the cause with a prefix.
 func (e *notSentError) Error() string { return "kv: not sent: " + e.cause.Error() }
 
 // Unwrap returns ErrUnavailable.
 func (e *notSentError) Unwrap() error { return ErrUnavailable }
 
-// lostError wraps a failure after which the request may have been carried out.
-type lostError struct{ cause error }
+// lostAnswerError wraps a failure after which the service may have executed the
+// request.
+type lostAnswerError struct{ cause error }
 
-// Error gives the cause.
-func (e *lostError) Error() string { return "kv: no answer: " + e.cause.Error() }
+// Error returns the text of the cause with a prefix.
+func (e *lostAnswerError) Error() string { return "kv: no answer: " + e.cause.Error() }
 
 // Unwrap returns ErrUnavailable.
-func (e *lostError) Unwrap() error { return ErrUnavailable }
+func (e *lostAnswerError) Unwrap() error { return ErrUnavailable }
 
-// do makes one bounded call and decodes its answer. A large value may take longer than the
-// call's timeout as long as it arrives.
+// do makes one call and decodes its answer. The timeout bounds the time without received
+// bytes, so a large value may take longer as long as it keeps arriving.
 func (h *HTTP) do(ctx context.Context, c call, request, answer any) error {
 	ctx, idle := transport.WithIdle(ctx, h.timeout, h.timeout)
 	defer idle.Stop()
@@ -144,46 +145,47 @@
 	idle.Received()
 	body, err := io.ReadAll(idle.Reader(io.LimitReader(response.Body, maxAnswerBytes)))
 	if err != nil {
-		h.suspect()
-		return &lostError{cause: err}
+		h.handleLostAnswer()
+		return &lostAnswerError{cause: err}
 	}
 	if response.StatusCode != http.StatusOK {
 		return statusError(response.StatusCode, body)
 	}
 	if err := json.Unmarshal(body, answer); err != nil {
-		return &lostError{cause: err}
+		return &lostAnswerError{cause: err}
 	}
 	return nil
 }
 
-// send makes one call at the first address that can be connected to. It never
-// sends a request a second time once a byte of it may have left.
+// send makes one call at the first address that accepts a connection, starting
+// with the preferred one. It never resends a request of which a byte may have
+// been sent.
 func (h *HTTP) send(ctx context.Context, c call, request any) (*http.Response, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return nil, &notSentError{cause: err}
 	}
 	first := h.preferred.Load()
-	var last error
+	var lastErr error
 	for i := range int64(len(h.urls)) {
-		at := (first + i) % int64(len(h.urls))
+		index := (first + i) % int64(len(h.urls))
 		if err := h.budget.wait(ctx, PriorityOf(ctx)); err != nil {
 			return nil, err
 		}
 		metrics.GetOrRegisterCounter("kv.calls."+c.kind, h.metrics).Inc(1)
-		response, err := h.post(ctx, h.urls[at]+c.path, body)
+		response, err := h.post(ctx, h.urls[index]+c.path, body)
 		if err == nil {
-			h.preferred.Store(at)
+			h.preferred.Store(index)
 			return response, nil
 		}
-		last = err
+		lastErr = err
 		var unsent *notSentError
 		if !errors.As(err, &unsent) {
-			h.preferred.Store((at + 1) % int64(len(h.urls)))
+			h.preferred.Store((index + 1) % int64(len(h.urls)))
 			return nil, err
 		}
 	}
-	return nil, last
+	return nil, lastErr
 }
 
 func (h *HTTP) post(ctx context.Context, address string, body []byte) (*http.Response, error) {
@@ -199,19 +201,19 @@
 	if isDialError(err) {
 		return nil, &notSentError{cause: err}
 	}
-	h.suspect()
-	return nil, &lostError{cause: err}
+	h.handleLostAnswer()
+	return nil, &lostAnswerError{cause: err}
 }
 
-// suspect drops the idle connections after one of them gave no answer. What lost
-// track of one has often lost track of its siblings, and each of them would cost
-// a call its whole timeout.
-func (h *HTTP) suspect() {
+// handleLostAnswer counts a lost answer and closes the idle connections. A fault
+// on the path that breaks one connection often breaks the others too, and each
+// of them would cost a call its whole timeout.
+func (h *HTTP) handleLostAnswer() {
 	metrics.GetOrRegisterCounter("kv.lost_answers", h.metrics).Inc(1)
 	h.client.CloseIdleConnections()
 }
 
-// isDialError reports whether no connection came about, so that the service
+// isDialError reports whether connecting failed, in which case the service
 // cannot have read anything.
 func isDialError(err error) bool {
 	var op *net.OpError
--- a/internal/kv/http_test.go
+++ b/internal/kv/http_test.go
@@ -15,7 +15,7 @@
 	"github.com/chestnutarch/chestnutarch/internal/standin"
 )
 
-// serve returns a client of a stand-in of the key-value service.
+// serve starts a stand-in of the key-value service and returns a client of it.
 func serve(t *testing.T, o kv.Options) (*kv.HTTP, *standin.KV) {
 	service := standin.NewKV(standin.KVOptions{})
 	server := httptest.NewServer(service)
@@ -89,9 +89,9 @@
 	require.False(t, open)
 }
 
-// The service carries a write out and the answer is lost with the connection.
-// Taking that for a failure would make a caller do it a second time.
-func TestHTTPTellsLostFromNotSent(t *testing.T) {
+// The service executes a write, and the answer is lost with the connection. If
+// the client reported a failure, the caller would perform the action twice.
+func TestHTTPDistinguishesLostAnswerFromUnsentRequest(t *testing.T) {
 	ctx := context.Background()
 	s, service := serve(t, kv.Options{CallTimeout: 200 * time.Millisecond})
 	for name, faults := range map[string]standin.KVFaults{
@@ -117,17 +117,17 @@
 	require.Equal(t, kv.DidNot, result.Outcome)
 }
 
-// One of the service's addresses is gone. Nobody should have to notice.
-func TestHTTPUsesAnotherAddress(t *testing.T) {
+// One of the service's addresses is unreachable. Calls must succeed at another one.
+func TestHTTPFailsOverToAnotherAddress(t *testing.T) {
 	s, _ := serve(t, kv.Options{URLs: []string{"http://127.0.0.1:1"}})
 	result, err := s.CompareAndSwap(context.Background(), "/k", kv.RevisionAbsent, []byte("x"), kv.NoLease)
 	require.NoError(t, err)
 	require.Equal(t, kv.TookEffect, result.Outcome)
 }
 
-// A gateway in the way answers 200 with an empty object. That is no transaction's
-// answer, so it must not pass for "did not".
-func TestHTTPDoesNotTrustAnEmptyAnswer(t *testing.T) {
+// An intermediate gateway answers 200 with an empty object. That is not the answer
+// of a transaction, so the client must not report "did not".
+func TestHTTPReportsUnknownForAnEmptyAnswer(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("{}")) }))
 	defer server.Close()
 	s, err := kv.NewHTTP(kv.Options{URLs: []string{server.URL}})
@@ -137,9 +137,9 @@
 	require.Equal(t, kv.Unknown, result.Outcome)
 }
 
-// A status page asks without pause. The calls that withdraw a key or claim an
-// action still go through.
-func TestHTTPBudgetLeavesRoomForClaims(t *testing.T) {
+// A status page sends calls continuously. Calls that withdraw a key or claim an
+// action must still be served.
+func TestHTTPBudgetReservesTokensForClaims(t *testing.T) {
 	s, _ := serve(t, kv.Options{Budget: kv.Budget{CallsPerSecond: 0.001, Burst: 8}})
 	status, cancel := context.WithTimeout(kv.WithPriority(context.Background(), kv.PriorityStatus), 20*time.Second)
 	defer cancel()
@@ -151,7 +151,7 @@
 	var budget *kv.BudgetError
 	require.ErrorAs(t, err, &budget)
 	require.ErrorIs(t, err, kv.ErrUnavailable)
-	require.Equal(t, 4, served-1, "half of the burst is kept for others")
+	require.Equal(t, 4, served-1, "status calls served: half of the burst must stay reserved for higher priorities")
 	claim := kv.WithPriority(context.Background(), kv.PriorityClaim)
 	for range 4 {
 		result, err := s.CompareAndSwap(claim, "/k", kv.RevisionAbsent, []byte("x"), kv.NoLease)
@@ -160,32 +160,33 @@
 	}
 }
 
-// forgetful is a transport whose connections something has lost track of.
-type forgetful struct {
-	dropped int
+// silentTransport is a transport whose requests all time out. It counts the calls
+// of CloseIdleConnections.
+type silentTransport struct {
+	closedIdle int
 }
 
-func (f *forgetful) RoundTrip(*http.Request) (*http.Response, error) {
+func (s *silentTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	return nil, context.DeadlineExceeded
 }
 
-func (f *forgetful) CloseIdleConnections() { f.dropped++ }
+func (s *silentTransport) CloseIdleConnections() { s.closedIdle++ }
 
-// A firewall forgets the connections to the service all at once. Calls would
-// time out one after another, one for each idle connection.
-func TestHTTPDropsTheSiblingsOfASilentConnection(t *testing.T) {
-	transport := new(forgetful)
+// A firewall drops the state of all connections to the service at once. If the
+// client kept its idle connections, one call for each of them would time out.
+func TestHTTPClosesIdleConnectionsAfterALostAnswer(t *testing.T) {
+	transport := new(silentTransport)
 	s, err := kv.NewHTTP(kv.Options{URLs: []string{"http://127.0.0.1:1"}, Client: &http.Client{Transport: transport}})
 	require.NoError(t, err)
 	_, err = s.Get(context.Background(), "/k")
 	require.ErrorIs(t, err, kv.ErrUnavailable)
-	require.Equal(t, 1, transport.dropped)
+	require.Equal(t, 1, transport.closedIdle)
 }
 
-// A link is so narrow that the environment document takes several times a call's timeout. A
-// call that ended by then would read it from its beginning for ever, and withdrawn keys would
-// go on working.
-func TestHTTPReadsALargeValueOverANarrowLink(t *testing.T) {
+// On a slow link, reading the environment document takes several times the call timeout. A
+// call that ended at the timeout would restart the read from the beginning for ever, and
+// withdrawn keys would stay valid.
+func TestHTTPReadsALargeValueOverASlowLink(t *testing.T) {
 	service := standin.NewKV(standin.KVOptions{})
 	t.Cleanup(service.Close)
 	const timeout = 2 * time.Second
--- a/internal/kv/kvtest/doc.go
+++ b/internal/kv/kvtest/doc.go
@@ -1,4 +1,3 @@
-// Package kvtest holds an in-memory key-value service for tests, with switches
-// for the service's faults. It is stepped with a supplied clock and starts no
-// goroutine.
+// Package kvtest provides an in-memory key-value service for tests, with fault
+// injection. Its time is that of a supplied clock, and it starts no goroutine.
 package kvtest
--- a/internal/kv/kvtest/lease.go
+++ b/internal/kv/kvtest/lease.go
@@ -9,7 +9,7 @@
 	"github.com/chestnutarch/chestnutarch/internal/kv"
 )
 
-// Grant makes a lease that lapses by the supplied clock.
+// Grant creates a lease that expires by the supplied clock.
 func (m *Memory) Grant(_ context.Context, ttl time.Duration) (kv.LeaseID, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -47,17 +47,18 @@
 	if err := m.ready(); err != nil {
 		return err
 	}
-	m.end(id)
+	m.endLease(id)
 	return nil
 }
 
-// expire ends the leases whose time is over. A lease lapses during an outage
-// too: the service's clock does not stop for its clients.
+// expire ends the leases whose time to live has passed, and removes the watches
+// whose context has ended. Leases expire during an outage too, because the
+// service's clock keeps running while its clients cannot reach it.
 func (m *Memory) expire() {
 	now := m.now()
 	for id, l := range m.leases {
 		if !now.Before(l.expires) {
-			m.end(id)
+			m.endLease(id)
 		}
 	}
 	kept := m.watchers[:0]
@@ -71,7 +72,7 @@
 	m.watchers = kept
 }
 
-func (m *Memory) end(id kv.LeaseID) {
+func (m *Memory) endLease(id kv.LeaseID) {
 	delete(m.leases, id)
 	for key, r := range m.records {
 		if r.lease != id {
@@ -84,7 +85,7 @@
 }
 
 // Watch delivers the key's entries after a revision. Only the newest value is
-// kept, so a watch that starts in the past begins with the present value.
+// stored, so a watch from an earlier revision begins with the current value.
 func (m *Memory) Watch(ctx context.Context, key string, after int64) (<-chan kv.Entry, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -97,7 +98,7 @@
 	if r, ok := m.records[key]; ok && r.entry.Revision > after && !m.faults.SilentWatch {
 		w.out <- copyEntry(r.entry)
 	}
-	// A watch ends with its context even if nothing is written any more.
+	// The watch must end with its context even if no further write occurs.
 	context.AfterFunc(ctx, m.Step)
 	return w.out, nil
 }
--- a/internal/kv/kvtest/memory.go
+++ b/internal/kv/kvtest/memory.go
@@ -11,24 +11,25 @@
 	"github.com/chestnutarch/chestnutarch/internal/kv"
 )
 
-// Faults switches what goes wrong. Counters are used up by one call each.
+// Faults selects the faults to inject. Each affected call decrements a counter by
+// one.
 type Faults struct {
-	// Outage makes every call fail as never sent.
+	// Outage makes every call fail as if it had never been sent.
 	Outage bool
-	// LoseRequests is the number of next writes that never arrive, but whose
-	// senders cannot know it.
+	// LoseRequests is the number of next writes that never arrive. Their outcome
+	// is Unknown.
 	LoseRequests int
-	// LoseAnswers is the number of next writes that take effect but whose
-	// answers are lost.
+	// LoseAnswers is the number of next writes that are executed but whose
+	// answers are lost. Their outcome is Unknown.
 	LoseAnswers int
-	// HoldRequests is the number of next writes that are held back. Their
-	// senders learn nothing. Release lets them arrive.
+	// HoldRequests is the number of next writes that are delayed until Release is
+	// called. Their outcome is Unknown.
 	HoldRequests int
-	// SilentWatch stops watches from delivering without closing them.
+	// SilentWatch stops watches from delivering entries without closing them.
 	SilentWatch bool
 }
 
-// Calls counts calls as the platform does: each call, a waiting watch as one.
+// Calls counts calls as the platform does: an open watch counts as one call.
 type Calls struct {
 	Reads   int
 	Writes  int
@@ -59,8 +60,8 @@
 	lease    kv.LeaseID
 }
 
-// watchBuffer is how many entries a watcher may leave unread before its watch
-// breaks.
+// watchBuffer is the number of entries that a watcher may leave unread before its
+// watch is closed.
 const watchBuffer = 64
 
 // Memory is a kv.Store in memory. It is safe for concurrent use.
@@ -80,7 +81,7 @@
 
 var _ kv.Store = (*Memory)(nil)
 
-// NewMemory returns an empty store. Leases lapse by the supplied clock; nil
+// NewMemory returns an empty store. Leases expire by the supplied clock; nil
 // means time.Now.
 func NewMemory(now func() time.Time) *Memory {
 	if now == nil {
@@ -93,15 +94,16 @@
 	}
 }
 
-// Observe calls f with every write that takes effect, in order and whatever the
-// faults, for an oracle. It is called under the store's lock.
+// Observe registers f to be called with every write that takes effect, in order
+// and regardless of faults, so that an oracle can record them. f runs under the
+// store's lock.
 func (m *Memory) Observe(f func(kv.Entry)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.observe = f
 }
 
-// Change edits the faults under the store's lock.
+// Change modifies the injected faults under the store's lock.
 func (m *Memory) Change(edit func(*Faults)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -115,8 +117,9 @@
 	return m.calls
 }
 
-// Release lets every held write arrive, in the order given by pick, which
-// chooses an index below n; nil takes the oldest first.
+// Release executes every held write. pick determines the order by returning an
+// index below n, the number of writes left; if it is nil, the oldest write is
+// first.
 func (m *Memory) Release(pick func(n int) int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -131,14 +134,15 @@
 	}
 }
 
-// Held returns the number of writes that are held back.
+// Held returns the number of held writes.
 func (m *Memory) Held() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.held)
 }
 
-// Step lets leases lapse by the clock and drops watches whose context ended.
+// Step ends the leases that have expired by the clock, and removes the watches
+// whose context has ended.
 func (m *Memory) Step() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -161,15 +165,15 @@
 	records  map[string]record
 }
 
-// Image returns a copy of the contents, as a backup holds it.
+// Image returns a copy of the contents, as a backup would hold it.
 func (m *Memory) Image() Image {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return Image{revision: m.revision, records: maps.Clone(m.records)}
 }
 
-// SetBack puts an earlier copy in place of the contents and breaks every watch,
-// as when the service is restored from a backup. Revisions go back with it.
+// SetBack replaces the contents by an earlier copy and closes every watch, as
+// when the service is restored from a backup. The store's revision is reset too.
 func (m *Memory) SetBack(to Image) {
 	m.BreakWatches()
 	m.mu.Lock()
@@ -255,11 +259,11 @@
 	return kv.Result{Outcome: kv.TookEffect, Revision: m.revision}
 }
 
-// ready lets leases lapse and reports an outage.
+// ready ends expired leases and returns an error during an outage.
 func (m *Memory) ready() error {
 	m.expire()
 	if m.faults.Outage {
-		return errors.Wrap(kv.ErrUnavailable, "outage")
+		return errors.Wrap(kv.ErrUnavailable, "injected outage")
 	}
 	return nil
 }
--- a/internal/kv/ops.go
+++ b/internal/kv/ops.go
@@ -52,8 +52,9 @@
 	return casAnswer(answer), nil
 }
 
-// casFailure tells a write that was never sent from one that may still take
-// effect. A caller that took the second for the first would repeat an action.
+// casFailure distinguishes a write that was never sent from one that may still
+// take effect. A caller that confused the second with the first would repeat an
+// action.
 func casFailure(err error) (Result, error) {
 	var unsent *notSentError
 	var budget *BudgetError
@@ -67,8 +68,9 @@
 	return Result{Outcome: Unknown}, nil
 }
 
-// definiteRefusal reports whether the service refused the request before it
-// could carry it out. 5xx and timeouts may come after the write was proposed.
+// definiteRefusal reports whether the status means that the service rejected the
+// request without executing it. 5xx answers and timeouts may occur after the
+// write was proposed.
 func definiteRefusal(status int) bool {
 	switch status {
 	case http.StatusBadRequest, http.StatusUnauthorized, http.StatusForbidden,
@@ -85,8 +87,8 @@
 		}
 		return Result{Outcome: TookEffect, Revision: answer.Header.Revision}
 	}
-	// An answer without a header is not a transaction's answer: a broken
-	// gateway's empty object must not pass for a definite refusal.
+	// An answer without a header does not come from a transaction: the empty
+	// object of a broken gateway must not be interpreted as a definite refusal.
 	if answer.Header == nil {
 		return Result{Outcome: Unknown}
 	}
@@ -101,7 +103,7 @@
 	return result
 }
 
-// Grant makes a lease. The service counts whole seconds; ttl is rounded up.
+// Grant creates a lease. The service counts in whole seconds, so ttl is rounded up.
 func (h *HTTP) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	seconds := int64((ttl + time.Second - 1) / time.Second)
 	var answer leaseGrantResponse
@@ -110,7 +112,7 @@
 		return NoLease, err
 	}
 	if answer.ID == NoLease {
-		return NoLease, errors.Wrap(ErrUnavailable, "lease without an ID")
+		return NoLease, errors.Wrap(ErrUnavailable, "granted lease has no ID")
 	}
 	return answer.ID, nil
 }
@@ -128,7 +130,8 @@
 	return nil
 }
 
-// Revoke ends a lease. A lease that is gone already is no error.
+// Revoke ends a lease. It returns nil if the lease has already expired or was
+// revoked.
 func (h *HTTP) Revoke(ctx context.Context, lease LeaseID) error {
 	var answer struct{}
 	err := leaseFailure(h.do(ctx, callRevoke, leaseRequest{ID: lease}, &answer))
--- a/internal/kv/priority.go
+++ b/internal/kv/priority.go
@@ -4,8 +4,8 @@
 
 type priorityKey struct{}
 
-// WithPriority returns a context whose calls are budgeted with a priority.
-// Calls without one count as PriorityConfiguration.
+// WithPriority returns a context whose calls draw on the call budget with
+// priority p. Calls without a priority count as PriorityConfiguration.
 func WithPriority(ctx context.Context, p Priority) context.Context {
 	return context.WithValue(ctx, priorityKey{}, p)
 }
@@ -31,7 +31,7 @@
 	}
 }
 
-// String returns the outcome in words.
+// String returns the outcome as text: "took effect", "did not" or "unknown".
 func (o Outcome) String() string {
 	switch o {
 	case TookEffect:
--- a/internal/kv/settle.go
+++ b/internal/kv/settle.go
@@ -8,60 +8,63 @@
 	"github.com/pkg/errors"
 )
 
-// Verdict says whether a value that was read back shows that a write took
-// effect.
+// Verdict classifies a value that was read back: it states whether the value
+// shows that a write took effect.
 type Verdict int
 
-// A value shows that the write took effect, shows that it did not, or shows
-// neither because it was written over since.
+// Shows means that the value proves that the write took effect, ShowsNot that
+// it proves the opposite. CannotTell means that it proves neither, because the
+// key has been overwritten since.
 const (
 	CannotTell Verdict = iota
 	Shows
 	ShowsNot
 )
 
-// Attempt is one compare-and-swap that can be told from every other, because
-// its value carries a nonce.
+// Attempt is one compare-and-swap, distinguishable from every other by the
+// nonce in its value.
 type Attempt struct {
-	// Key is what to write.
+	// Key is the key to write.
 	Key string
-	// Expected is the revision to replace.
+	// Expected is the revision that the key must have for the write to take effect.
 	Expected int64
-	// Value carries a nonce that no other attempt has.
+	// Value is the new value. It contains a nonce that no other attempt uses.
 	Value []byte
-	// Lease may be NoLease.
+	// Lease is the lease that the value is attached to, or NoLease.
 	Lease LeaseID
-	// Mine judges a value of the key, written after Expected.
+	// Mine classifies a value of the key that was written after Expected.
 	Mine func(value []byte) Verdict
 	// Resend allows the same bytes to be sent again while the outcome is
-	// unknown. At most one of them can take effect, since the revision moves
-	// with the first. Without it, an outcome stays Unknown while the key has
-	// not moved, since the request may still be on its way.
+	// unknown. At most one of these requests can take effect, because the first
+	// one that does changes the revision. If Resend is false, the outcome stays
+	// Unknown while the revision is unchanged, because the request may still be
+	// in transit.
 	Resend bool
-	// Sleep waits between two looks and reports whether ctx is still alive. The
-	// default waits for real; a harness that steps time supplies its own.
+	// Sleep waits between two reads and reports whether ctx is still active. The
+	// default waits in real time; a test harness with simulated time supplies
+	// its own.
 	Sleep func(ctx context.Context, d time.Duration) bool
 
 	faults settleFaults
 }
 
-// settleFaults switch off single rules in tests, which show that the oracle
-// notices.
+// settleFaults disables single rules of Settle. Tests use it to verify that the
+// oracle detects the violation.
 type settleFaults struct {
 	unknownIsFailure bool
 	unmovedIsFailure bool
 	refusalIsFailure bool
 }
 
-// Pauses between two looks at an unknown outcome.
+// Bounds of the exponential backoff between two reads of an unknown outcome.
 const (
 	settleFirstPause = 5 * time.Millisecond
 	settleMaxPause   = 500 * time.Millisecond
 )
 
-// Settle makes an attempt and, if its answer is lost, reads back until the
-// outcome is known or ctx ends. It returns Unknown then, never a guess. The
-// error is that of CompareAndSwap: nothing was sent.
+// Settle makes an attempt and, if its answer is lost, reads the key back until
+// the outcome is known or ctx ends. If ctx ends first it returns Unknown, never
+// a guess. An error is that of CompareAndSwap and means that nothing was sent.
 func Settle(ctx context.Context, s Store, a Attempt) (Result, error) {
 	result, err := s.CompareAndSwap(ctx, a.Key, a.Expected, a.Value, a.Lease)
 	if err != nil {
@@ -71,7 +74,7 @@
 		return Result{Outcome: DidNot}, nil
 	}
 	if result.Outcome != Unknown {
-		return judge(a, result), nil
+		return attributeConflict(a, result), nil
 	}
 	wait := a.Sleep
 	if wait == nil {
@@ -80,20 +83,21 @@
 	for pause := settleFirstPause; wait(ctx, Jitter(pause)); pause = min(2*pause, settleMaxPause) {
 		result, settled := readBack(ctx, s, a)
 		if settled {
-			return judge(a, result), nil
+			return attributeConflict(a, result), nil
 		}
 	}
 	return Result{Outcome: Unknown}, nil
 }
 
-// readBack looks at the key, and sends again if that is allowed and the key has
-// not moved. It reports whether nothing more can be learned.
+// readBack reads the key, and resends the write if that is allowed and the
+// revision is unchanged. It reports whether the result is final, that is,
+// whether further reads cannot add information.
 func readBack(ctx context.Context, s Store, a Attempt) (Result, bool) {
 	entry, err := s.Get(ctx, a.Key)
 	absent := errors.Is(err, ErrNotFound)
 	switch {
 	case absent && a.Expected != RevisionAbsent:
-		// The key was deleted with its lease, and with it whatever we wrote.
+		// The key was deleted with its lease, including any value of this attempt.
 		return Result{Outcome: Unknown}, true
 	case err != nil && !absent:
 		return Result{}, false
@@ -106,7 +110,7 @@
 	}
 	result, err := s.CompareAndSwap(ctx, a.Key, a.Expected, a.Value, a.Lease)
 	if err != nil || result.Outcome == Unknown {
-		// This one may not have been sent, but the first may still arrive.
+		// This request may not have been sent, but the first may still arrive.
 		return Result{}, false
 	}
 	if result.Outcome == DidNot && result.Current == nil {
@@ -115,9 +119,10 @@
 	return result, true
 }
 
-// judge looks for our own value behind a refusal: after a lost answer, the
-// value that stands in the way may be the one that we wrote.
-func judge(a Attempt, r Result) Result {
+// attributeConflict checks whether the value that caused a refusal is the
+// attempt's own: after a lost answer, the conflicting value may be the one that
+// this attempt wrote.
+func attributeConflict(a Attempt, r Result) Result {
 	if r.Outcome != DidNot || r.Current == nil || a.faults.refusalIsFailure {
 		return r
 	}
@@ -131,8 +136,8 @@
 	}
 }
 
-// Jitter returns a random duration from half of d to d, so that many clients
-// that failed together do not come back together.
+// Jitter returns a random duration between d/2 and d, so that many clients that
+// failed at the same time do not retry at the same time.
 func Jitter(d time.Duration) time.Duration {
 	if d <= 1 {
 		return d
@@ -140,7 +145,7 @@
 	return d/2 + rand.N(d/2)
 }
 
-// sleep waits and reports whether ctx is still alive.
+// sleep waits for d or until ctx ends, and reports whether ctx is still active.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/kv/watch.go
+++ b/internal/kv/watch.go
@@ -9,13 +9,13 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// watchBuffer is the number of entries that a slow reader may leave waiting
-// before the watch stops reading the connection.
+// watchBuffer is the number of entries that are buffered for a slow reader
+// before the watch stops reading from the connection.
 const watchBuffer = 16
 
-// Watch delivers the key's entries after a revision. The platform counts the
-// waiting watch as one call. Nothing tells a silent watch from a quiet one:
-// callers poll Revision beside it.
+// Watch delivers the key's entries after a revision. The platform counts an open
+// watch as one call. A broken connection cannot be distinguished from a key that
+// does not change, so callers poll Revision in addition.
 func (h *HTTP) Watch(ctx context.Context, key string, after int64) (<-chan Entry, error) {
 	request := watchRequest{CreateRequest: watchCreate{Key: []byte(key), StartRevision: after + 1}}
 	ctx, cancel := context.WithCancel(ctx)
@@ -43,8 +43,9 @@
 	return entries, nil
 }
 
-// readWatch delivers events until the stream breaks. Compaction and a server's
-// cancel end it like a broken connection; the caller reads again.
+// readWatch delivers events until the stream breaks. A compaction and a
+// cancellation by the server end it in the same way as a broken connection; the
+// caller then reads the key again.
 func readWatch(ctx context.Context, body io.Reader, entries chan<- Entry) {
 	decoder := json.NewDecoder(body)
 	for {
--- a/internal/kv/wire.go
+++ b/internal/kv/wire.go
@@ -1,8 +1,8 @@
 package kv
 
 // The messages of the etcd v3 JSON gateway that this client uses. Byte fields
-// are base64 and 64-bit numbers are strings. Source: the etcd API reference,
-// rpc.proto and kv.proto.
+// are base64-encoded and 64-bit numbers are strings. Source: the etcd API
+// reference, rpc.proto and kv.proto.
 
 type wireHeader struct {
 	Revision int64 `json:"revision,string"`
