--- a/internal/transport/control_other.go
+++ b/internal/transport/control_other.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// control does nothing where TCP_USER_TIMEOUT does not exist: keepalive probes
-// and the idle limits of the streams remain.
-func control(time.Duration) func(network, address string, c syscall.RawConn) error {
+// userTimeoutControl returns nil on platforms without TCP_USER_TIMEOUT. Keepalive
+// probes and the idle timeouts of the streams still detect dead connections.
+func userTimeoutControl(time.Duration) func(network, address string, c syscall.RawConn) error {
 	return nil
 }
--- a/internal/transport/dialer.go
+++ b/internal/transport/dialer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Limits says how soon a connection that has gone silent is given up.
+// Limits configures how soon a connection to an unresponsive peer is closed.
 type Limits struct {
 	// Connect bounds the TCP handshake. The default is 2s.
 	Connect time.Duration
@@ -14,7 +14,8 @@
 	KeepAliveIdle time.Duration
 	// KeepAliveInterval is the time between probes. The default is 2s.
 	KeepAliveInterval time.Duration
-	// KeepAliveCount is how many probes may go unanswered. The default is 3.
+	// KeepAliveCount is the number of unanswered probes after which the kernel
+	// closes the connection. The default is 3.
 	KeepAliveCount int
 	// UserTimeout bounds how long sent bytes may stay unacknowledged
 	// (TCP_USER_TIMEOUT, RFC 5482). The default is 6s.
@@ -30,7 +31,7 @@
 	DefaultUserTimeout       = 6 * time.Second
 )
 
-// withDefaults fills in what is zero.
+// withDefaults returns the limits with zero fields replaced by their defaults.
 func (l Limits) withDefaults() Limits {
 	if l.Connect == 0 {
 		l.Connect = DefaultConnect
@@ -50,7 +51,7 @@
 	return l
 }
 
-// keepAlive returns the probes that the limits ask for.
+// keepAlive returns the keepalive configuration for the limits.
 func (l Limits) keepAlive() net.KeepAliveConfig {
 	return net.KeepAliveConfig{
 		Enable:   true,
@@ -60,15 +61,16 @@
 	}
 }
 
-// NewDialer returns a dialer whose connections notice a peer that vanished
-// without a reset. Without it a write into such a connection succeeds until the
-// kernel gives up a quarter of an hour later, and a read waits for ever.
+// NewDialer returns a dialer whose connections detect a peer that disappeared
+// without a reset. With the kernel's defaults, writes to such a connection succeed
+// until the kernel closes it after a quarter of an hour, and reads block for
+// ever.
 func NewDialer(l Limits) *net.Dialer {
 	l = l.withDefaults()
 	return &net.Dialer{
 		Timeout:         l.Connect,
 		KeepAliveConfig: l.keepAlive(),
-		Control:         control(l.UserTimeout),
+		Control:         userTimeoutControl(l.UserTimeout),
 	}
 }
 
@@ -78,6 +80,6 @@
 	l = l.withDefaults()
 	return &net.ListenConfig{
 		KeepAliveConfig: l.keepAlive(),
-		Control:         control(l.UserTimeout),
+		Control:         userTimeoutControl(l.UserTimeout),
 	}
 }
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,3 +1,3 @@
-// Package transport makes the connections that every hop uses: TCP dialers
-// that notice a peer which has gone silent, and HTTP transports built on them.
+// Package transport provides the connections of every hop: TCP dialers that
+// detect an unresponsive peer, and HTTP transports built on them.
 package transport
--- a/internal/transport/hosts.go
+++ b/internal/transport/hosts.go
@@ -5,8 +5,9 @@
 	"sync"
 )
 
-// Hosts keeps a transport for each peer, so that the idle connections to one peer
-// can be closed without those to the others. It is safe for concurrent use.
+// Hosts is an http.RoundTripper with a separate transport for each host, so that
+// the idle connections to one host can be closed without affecting the others. It
+// is safe for concurrent use.
 type Hosts struct {
 	limits Limits
 	pool   Pool
@@ -16,17 +17,17 @@
 	hosts map[string]*http.Transport
 }
 
-// NewHosts returns an empty set of transports.
+// NewHosts returns a Hosts without transports. They are created on first use.
 func NewHosts(l Limits, p Pool, tlsConfig TLS) *Hosts {
 	return &Hosts{limits: l, pool: p, tls: tlsConfig, hosts: make(map[string]*http.Transport)}
 }
 
 // RoundTrip implements http.RoundTripper.
 func (h *Hosts) RoundTrip(r *http.Request) (*http.Response, error) {
-	return h.host(r.URL.Host).RoundTrip(r)
+	return h.transportFor(r.URL.Host).RoundTrip(r)
 }
 
-func (h *Hosts) host(name string) *http.Transport {
+func (h *Hosts) transportFor(name string) *http.Transport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	t := h.hosts[name]
@@ -37,9 +38,9 @@
 	return t
 }
 
-// CloseIdle closes the idle connections to a peer. Where one connection has gone
-// silent, others that took the same way may have too; a request that was given one
-// of them would wait for its whole idle limit.
+// CloseIdle closes the idle connections to a host. If one connection to it has
+// become unresponsive, others over the same network path may have too, and a
+// request on one of them would wait for its whole idle timeout.
 func (h *Hosts) CloseIdle(name string) {
 	h.mu.Lock()
 	t := h.hosts[name]
@@ -49,8 +50,9 @@
 	}
 }
 
-// Keep forgets the peers that are not named, and closes their idle connections.
-func (h *Hosts) Keep(names map[string]bool) {
+// RetainOnly removes the transports of the hosts that are not in names, and closes
+// their idle connections.
+func (h *Hosts) RetainOnly(names map[string]bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for name, t := range h.hosts {
@@ -61,7 +63,7 @@
 	}
 }
 
-// Close closes all idle connections.
+// Close removes all transports and closes their idle connections.
 func (h *Hosts) Close() {
-	h.Keep(nil)
+	h.RetainOnly(nil)
 }
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -12,29 +12,31 @@
 
 // Pool bounds the idle connections that a transport keeps.
 type Pool struct {
-	// MaxIdlePerHost is the number of idle connections kept for one peer. The
+	// MaxIdlePerHost is the maximum number of idle connections to one host. The
 	// default is 32.
 	MaxIdlePerHost int
 	// IdleLifetime is how long an idle connection is kept. It is short, because
-	// a connection that nobody uses can die unnoticed. The default is 10s.
+	// an unused connection can break without being detected. The default is 10s.
 	IdleLifetime time.Duration
 }
 
-// The defaults of Pool, and the bounds on what an upstream may make us hold.
+// The defaults of Pool, and the bound on the memory that the response headers of an
+// upstream may take.
 const (
 	DefaultMaxIdlePerHost  = 32
 	DefaultIdleLifetime    = 10 * time.Second
 	maxResponseHeaderBytes = 64 << 10
 )
 
-// TLS returns the configuration for one new connection. It is asked each time,
-// so that renewed certificates and authorities count without a restart. Nil
-// takes the machine's authorities.
+// TLS returns the configuration for one new connection. It is called for each
+// connection, so that renewed certificates and authorities take effect without a
+// restart. If the function is nil, the system's certificate authorities are used.
 type TLS func() *tls.Config
 
-// New returns an HTTP/1.1 transport. One exchange owns one connection, so that
-// a connection that goes silent or answers another request hurts only that exchange.
-// It never adds an Accept-Encoding of its own: answers pass as they are.
+// New returns an HTTP/1.1 transport. Each exchange has a connection of its own, so
+// that a connection that becomes unresponsive or answers another request affects
+// only that exchange. The transport never adds an Accept-Encoding header: answers
+// are passed on unchanged.
 func New(l Limits, p Pool, secure TLS) *http.Transport {
 	if p.MaxIdlePerHost == 0 {
 		p.MaxIdlePerHost = DefaultMaxIdlePerHost
@@ -57,8 +59,9 @@
 	return t
 }
 
-// dialTLS opens a connection and proves both ends of it. The certificate has to
-// name the IP address that was dialled.
+// dialTLS returns a function that opens a connection and performs the TLS
+// handshake. The server's certificate must be valid for the IP address that was
+// dialled.
 func dialTLS(dialer *net.Dialer, secure TLS) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		host, _, err := net.SplitHostPort(address)
@@ -83,9 +86,9 @@
 }
 
 // NewSingleUse returns a transport that opens a connection for every request
-// and closes it afterwards. net/http resends a request by itself when a reused
-// connection breaks; on a connection that was never used before it does not, so
-// a call that must not run twice goes through here.
+// and closes it afterwards. net/http automatically resends a request when a reused
+// connection breaks, but not on a connection that was never used before.
+// Therefore, calls that must not be executed twice use this transport.
 func NewSingleUse(l Limits, secure TLS) *http.Transport {
 	t := New(l, Pool{}, secure)
 	t.DisableKeepAlives = true
--- a/internal/transport/idle.go
+++ b/internal/transport/idle.go
@@ -8,45 +8,47 @@
 	"github.com/pkg/errors"
 )
 
-// ErrIdle is the cause of a context that ended because nothing was received for too long.
+// ErrIdle is the cause of a context that ended because nothing was received within the
+// idle timeout.
 var ErrIdle = errors.New("transport: nothing received for too long")
 
-// Idle ends a transfer that has gone silent. A timeout for a whole transfer would end a
-// large one over a narrow link each time before it is complete, however often it is tried.
+// Idle is the idle timeout of a transfer. A timeout for the whole transfer would end every
+// attempt to transfer a large body over a slow link before it is complete.
 type Idle struct {
-	timer   *time.Timer
-	limit   time.Duration
-	release context.CancelFunc
+	timer  *time.Timer
+	limit  time.Duration
+	cancel context.CancelFunc
 }
 
 // WithIdle returns a context that ends with the cause ErrIdle if nothing is received within
-// first, or for limit after anything was. Stop must be called to release it.
+// first, or if after that nothing is received for limit. Stop must be called to release its
+// resources.
 func WithIdle(ctx context.Context, first, limit time.Duration) (context.Context, *Idle) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	i := &Idle{limit: limit, release: func() { cancel(context.Canceled) }}
+	i := &Idle{limit: limit, cancel: func() { cancel(context.Canceled) }}
 	i.timer = time.AfterFunc(first, func() { cancel(ErrIdle) })
 	return ctx, i
 }
 
-// Received notes that something has arrived.
+// Received restarts the timeout because data has been received.
 func (i *Idle) Received() { i.timer.Reset(i.limit) }
 
-// Stop ends the context and releases its timer.
+// Stop cancels the context and stops the timer.
 func (i *Idle) Stop() {
 	i.timer.Stop()
-	i.release()
+	i.cancel()
 }
 
-// Reader returns a reader that notes what is read from r.
-func (i *Idle) Reader(r io.Reader) io.Reader { return &idleReader{idle: i, from: r} }
+// Reader returns a reader of r that calls Received for every read that returns data.
+func (i *Idle) Reader(r io.Reader) io.Reader { return &idleReader{idle: i, source: r} }
 
 type idleReader struct {
-	idle *Idle
-	from io.Reader
+	idle   *Idle
+	source io.Reader
 }
 
 func (r *idleReader) Read(p []byte) (int, error) {
-	n, err := r.from.Read(p)
+	n, err := r.source.Read(p)
 	if n > 0 {
 		r.idle.Received()
 	}
--- a/internal/transport/idle_test.go
+++ b/internal/transport/idle_test.go
@@ -12,9 +12,9 @@
 
 const idleLimit = time.Second
 
-// A large transfer over a narrow link takes many times the limit. Ending it would begin it
-// anew for ever.
-func TestTransferThatMakesProgressIsNotEnded(t *testing.T) {
+// A large transfer over a slow link takes many times the idle timeout. If it were ended,
+// every retry would start from the beginning and never complete.
+func TestIdleTimeoutAllowsTransferWithProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, idle := WithIdle(t.Context(), idleLimit, idleLimit)
 		defer idle.Stop()
@@ -33,8 +33,8 @@
 	})
 }
 
-// The other end goes silent in the middle of a transfer, without a reset.
-func TestSilentTransferIsEnded(t *testing.T) {
+// The peer stops sending in the middle of a transfer, without a reset.
+func TestIdleTimeoutEndsStalledTransfer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, idle := WithIdle(t.Context(), 3*idleLimit, idleLimit)
 		defer idle.Stop()
--- a/internal/transport/tls_test.go
+++ b/internal/transport/tls_test.go
@@ -14,7 +14,8 @@
 	"github.com/chestnutarch/chestnutarch/internal/credentials/certtest"
 )
 
-// serveTLS answers every request with 200 and returns the address.
+// serveTLS starts a server that answers every request with 200, and returns its
+// address.
 func serveTLS(t *testing.T, files certtest.Files) string {
 	certificate, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 	require.NoError(t, err)
@@ -26,7 +27,7 @@
 	return listener.Addr().String()
 }
 
-func trusting(t *testing.T, files certtest.Files) *tls.Config {
+func clientConfig(t *testing.T, files certtest.Files) *tls.Config {
 	pem, err := os.ReadFile(files.Authority)
 	require.NoError(t, err)
 	pool := x509.NewCertPool()
@@ -34,13 +35,14 @@
 	return &tls.Config{RootCAs: pool}
 }
 
-// The authority of the upstreams is replaced while the process runs. A client
-// that kept the old one would refuse every renewed upstream until a restart.
-func TestRenewedAuthorityCountsForNewConnections(t *testing.T) {
+// The certificate authority of the upstreams is replaced while the process runs. A
+// client that kept the old one would reject every upstream with a renewed
+// certificate until a restart.
+func TestRenewedAuthorityAppliesToNewConnections(t *testing.T) {
 	old := certtest.New(t).Issue(t, t.TempDir(), "127.0.0.1")
 	renewed := certtest.New(t).Issue(t, t.TempDir(), "127.0.0.1")
 	var config atomic.Pointer[tls.Config]
-	config.Store(trusting(t, old))
+	config.Store(clientConfig(t, old))
 	client := &http.Client{Transport: New(Limits{}, Pool{}, config.Load)}
 	get := func(address string) error {
 		answer, err := client.Get("https://" + address)
@@ -50,17 +52,17 @@
 		return err
 	}
 	require.NoError(t, get(serveTLS(t, old)))
-	after := serveTLS(t, renewed)
-	require.Error(t, get(after))
-	config.Store(trusting(t, renewed))
-	require.NoError(t, get(after))
+	renewedAddress := serveTLS(t, renewed)
+	require.Error(t, get(renewedAddress))
+	config.Store(clientConfig(t, renewed))
+	require.NoError(t, get(renewedAddress))
 }
 
-// Something answers at an upstream's address with a certificate for another
-// one. A prompt would be read by a stranger.
-func TestCertificateOfAnotherAddressIsRefused(t *testing.T) {
+// Another process answers at an upstream's address with a certificate for a
+// different address. If the client accepted it, that process could read prompts.
+func TestCertificateOfAnotherAddressIsRejected(t *testing.T) {
 	files := certtest.New(t).Issue(t, t.TempDir(), "127.0.0.9")
-	client := &http.Client{Transport: New(Limits{}, Pool{}, func() *tls.Config { return trusting(t, files) })}
+	client := &http.Client{Transport: New(Limits{}, Pool{}, func() *tls.Config { return clientConfig(t, files) })}
 	_, port, err := net.SplitHostPort(serveTLS(t, files))
 	require.NoError(t, err)
 	_, err = client.Get("https://127.0.0.1:" + port)
