--- a/internal/credentials/certtest/authority.go
+++ b/internal/credentials/certtest/authority.go
@@ -1,4 +1,4 @@
-// Package certtest makes certificates for tests.
+// Package certtest creates TLS certificates for tests.
 package certtest
 
 import (
@@ -18,23 +18,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// validity is how long certificates are valid, from an hour ago.
+// validity is the length of the validity period of certificates, which starts an
+// hour in the past.
 const validity = 2 * time.Hour
 
-// Files names the PEM files of a certificate, its key and its authority.
+// Files holds the paths of the PEM files of a certificate, its key and its
+// authority.
 type Files struct {
 	Certificate string
 	Key         string
 	Authority   string
 }
 
-// Authority signs certificates.
+// Authority is a certificate authority.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-// New returns a new authority.
+// New returns an authority with a new self-signed certificate.
 func New(t testing.TB) *Authority {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
@@ -49,8 +51,8 @@
 	return &Authority{certificate: certificate, key: key}
 }
 
-// Issue writes a certificate for an IP address into dir, good for both sides
-// of a connection. Files that are there are replaced.
+// Issue writes a certificate for an IP address into dir, with its key and its
+// authority. It is valid for servers and clients. Existing files are overwritten.
 func (a *Authority) Issue(t testing.TB, dir, ip string) Files {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
--- a/internal/credentials/grpc.go
+++ b/internal/credentials/grpc.go
@@ -7,25 +7,26 @@
 	"google.golang.org/grpc/credentials"
 )
 
-// peerProtocol is what gRPC offers by ALPN.
+// peerProtocol is the protocol that gRPC offers by ALPN.
 const peerProtocol = "h2"
 
-// GRPC returns the transport credentials of own processes: both sides show a
-// certificate that the authority signed, and the newest files count for each
-// handshake.
+// GRPC returns the transport credentials for connections between the system's own
+// processes. Both sides must present a certificate that the authority signed, and
+// each handshake uses the newest files.
 func (r *Reloader) GRPC() credentials.TransportCredentials {
 	server := r.Server(ServerOptions{RequireClientCertificate: true, NextProtos: []string{peerProtocol}})
 	return &grpcCredentials{TransportCredentials: credentials.NewTLS(server), reloader: r}
 }
 
-// grpcCredentials makes the client's side anew for each handshake. The server's
-// side already does so through its configuration.
+// grpcCredentials creates the client configuration for each handshake. The server
+// configuration already does so in GetConfigForClient.
 type grpcCredentials struct {
 	credentials.TransportCredentials
 	reloader *Reloader
 }
 
-// ClientHandshake proves both sides to each other on a new connection.
+// ClientHandshake performs the handshake of a new connection, in which both sides
+// authenticate.
 func (c *grpcCredentials) ClientHandshake(ctx context.Context, authority string, conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
 	return credentials.NewTLS(c.reloader.Client()).ClientHandshake(ctx, authority, conn)
 }
--- a/internal/credentials/reload.go
+++ b/internal/credentials/reload.go
@@ -11,34 +11,36 @@
 )
 
 var (
-	// ErrCertificate means that a certificate and its key can't be read or
-	// don't belong together.
+	// ErrCertificate means that a certificate or its key cannot be read, or that
+	// they do not match.
 	ErrCertificate = errors.New("credentials: cannot load certificate")
-	// ErrAuthority means that a file of authorities can't be read or holds no
+	// ErrAuthority means that the authority file cannot be read or contains no
 	// certificate.
 	ErrAuthority = errors.New("credentials: cannot load authority")
 )
 
-// checkInterval is how often the files are looked at, at the next handshake.
+// checkInterval is the minimum time between two checks of the files. A check is
+// part of the next handshake.
 const checkInterval = 5 * time.Second
 
-// Files names PEM files. Empty names are left out of the configuration.
+// Files holds the paths of PEM files. Empty paths are omitted from the
+// configuration.
 type Files struct {
 	Certificate string
 	Key         string
 	Authority   string
 }
 
-// Reloader holds the newest readable content of its files. It is safe for use
-// by several goroutines.
+// Reloader holds the newest valid content of its files. It is safe for concurrent
+// use.
 type Reloader struct {
 	files Files
 
-	mu          sync.Mutex
-	checked     time.Time
-	modified    [3]time.Time
-	certificate *tls.Certificate
-	authorities *x509.CertPool
+	mu           sync.Mutex
+	lastCheck    time.Time
+	lastModTimes [3]time.Time
+	certificate  *tls.Certificate
+	authorities  *x509.CertPool
 }
 
 // New reads the files. It returns ErrCertificate or ErrAuthority, wrapped.
@@ -47,12 +49,12 @@
 	if err := r.load(); err != nil {
 		return nil, err
 	}
-	r.checked = time.Now()
-	r.modified = r.times()
+	r.lastCheck = time.Now()
+	r.lastModTimes = r.fileModTimes()
 	return r, nil
 }
 
-func (r *Reloader) times() [3]time.Time {
+func (r *Reloader) fileModTimes() [3]time.Time {
 	var times [3]time.Time
 	for i, file := range []string{r.files.Certificate, r.files.Key, r.files.Authority} {
 		if info, err := os.Stat(file); err == nil {
@@ -79,37 +81,39 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return errors.Wrap(ErrAuthority, r.files.Authority+" holds no certificate")
+		return errors.Wrap(ErrAuthority, r.files.Authority+" contains no PEM certificate")
 	}
 	r.authorities = pool
 	return nil
 }
 
-// current returns the newest content. Files that are being replaced may not
-// match for a moment: the old content then stays in use and the files are
-// tried again, so that a renewal never cuts connections off.
+// current returns the newest valid content. While files are being replaced, the
+// certificate and key may not match. The old content then stays in use and the
+// files are read again at a later check, so that a renewal never causes failed
+// handshakes.
 func (r *Reloader) current() (*tls.Certificate, *x509.CertPool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if time.Since(r.checked) >= checkInterval {
-		r.checked = time.Now()
-		if times := r.times(); times != r.modified && r.load() == nil {
-			r.modified = times
+	if time.Since(r.lastCheck) >= checkInterval {
+		r.lastCheck = time.Now()
+		if times := r.fileModTimes(); times != r.lastModTimes && r.load() == nil {
+			r.lastModTimes = times
 		}
 	}
 	return r.certificate, r.authorities
 }
 
-// ServerOptions says what a server asks of its clients.
+// ServerOptions configures a server's TLS handshakes.
 type ServerOptions struct {
-	// RequireClientCertificate refuses clients without a certificate that the
+	// RequireClientCertificate rejects clients without a certificate that the
 	// authority signed.
 	RequireClientCertificate bool
-	// NextProtos is offered by ALPN.
+	// NextProtos lists the protocols offered by ALPN.
 	NextProtos []string
 }
 
-// Server returns a server's configuration, made anew for each handshake.
+// Server returns a server configuration that uses the newest files for each
+// handshake.
 func (r *Reloader) Server(o ServerOptions) *tls.Config {
 	base := &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: o.NextProtos}
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -131,10 +135,11 @@
 	return base
 }
 
-// Client returns a client's configuration for one connection. The server's
-// certificate must name the IP address that is dialled and be signed by the
-// newest authority. It has to be called for each new connection: the standard
-// check runs against the authorities that the configuration was made with.
+// Client returns a client configuration for one connection. The server's
+// certificate must be valid for the IP address that is dialled and be signed by
+// the newest authority. Client must be called for each new connection, because the
+// standard verification uses the authorities that the configuration was created
+// with.
 func (r *Reloader) Client() *tls.Config {
 	certificate, authorities := r.current()
 	c := &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: authorities}
--- a/internal/credentials/reload_test.go
+++ b/internal/credentials/reload_test.go
@@ -12,7 +12,7 @@
 )
 
 // handshake connects a client to a server and returns the client's error. The
-// client believes that it has dialled ip.
+// client verifies the server's certificate against ip.
 func handshake(t *testing.T, server, client *tls.Config, ip string) error {
 	listener, err := tls.Listen("tcp", "127.0.0.1:0", server)
 	require.NoError(t, err)
@@ -23,7 +23,7 @@
 			return
 		}
 		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(never))
+		conn.SetDeadline(time.Now().Add(handshakeTimeout))
 		conn.Write([]byte{1})
 	}()
 	client = client.Clone()
@@ -33,14 +33,15 @@
 		return err
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(never))
-	// In TLS 1.3 a server's refusal of the client shows at the first read.
+	conn.SetDeadline(time.Now().Add(handshakeTimeout))
+	// In TLS 1.3 the client sees the server's rejection of its certificate at the
+	// first read.
 	_, err = conn.Read(make([]byte, 1))
 	return err
 }
 
-// never bounds a handshake that would otherwise hang.
-const never = 30 * time.Second
+// handshakeTimeout bounds a handshake that would otherwise hang.
+const handshakeTimeout = 30 * time.Second
 
 func mustNew(t *testing.T, files certtest.Files) *Reloader {
 	r, err := New(Files(files))
@@ -48,49 +49,48 @@
 	return r
 }
 
-// Something on the way answers in a VM's place with a certificate of the same
-// authority for another address. If the address were not compared, a caller's
-// request would be read by a stranger.
-func TestClientRefusesCertificateOfAnotherAddress(t *testing.T) {
+// A man in the middle answers instead of a VM, with a certificate of the same
+// authority for a different address. If the client did not verify the address,
+// the man in the middle could read a caller's request.
+func TestClientRejectsCertificateOfAnotherAddress(t *testing.T) {
 	a := certtest.New(t)
 	server := mustNew(t, a.Issue(t, t.TempDir(), "127.0.0.1")).Server(ServerOptions{})
 	client := mustNew(t, a.Issue(t, t.TempDir(), "127.0.0.9"))
 	require.NoError(t, handshake(t, server, client.Client(), "127.0.0.1"))
 	require.Error(t, handshake(t, server, client.Client(), "127.0.0.2"))
-	stranger := mustNew(t, certtest.New(t).Issue(t, t.TempDir(), "127.0.0.1"))
-	require.Error(t, handshake(t, stranger.Server(ServerOptions{}), client.Client(), "127.0.0.1"))
+	otherAuthority := mustNew(t, certtest.New(t).Issue(t, t.TempDir(), "127.0.0.1"))
+	require.Error(t, handshake(t, otherAuthority.Server(ServerOptions{}), client.Client(), "127.0.0.1"))
 }
 
-// A process that is none of ours connects to the peers' port. It could
-// withdraw keys or take loans if it were let in.
-func TestServerRefusesPeerWithoutCertificate(t *testing.T) {
+// A process that is not part of the system connects to the peers' port. If it were
+// accepted, it could withdraw keys or take loans.
+func TestServerRejectsPeerWithoutCertificate(t *testing.T) {
 	a := certtest.New(t)
 	server := mustNew(t, a.Issue(t, t.TempDir(), "127.0.0.1")).Server(ServerOptions{RequireClientCertificate: true})
-	bare := mustNew(t, certtest.Files{Authority: a.Issue(t, t.TempDir(), "127.0.0.9").Authority})
-	require.Error(t, handshake(t, server, bare.Client(), "127.0.0.1"))
+	noCertificate := mustNew(t, certtest.Files{Authority: a.Issue(t, t.TempDir(), "127.0.0.9").Authority})
+	require.Error(t, handshake(t, server, noCertificate.Client(), "127.0.0.1"))
 	foreign := certtest.New(t).Issue(t, t.TempDir(), "127.0.0.9")
 	foreign.Authority = a.Issue(t, t.TempDir(), "127.0.0.8").Authority
 	require.Error(t, handshake(t, server, mustNew(t, foreign).Client(), "127.0.0.1"))
 }
 
-// Certificates are renewed while the process runs, first of all before they
-// run out at night. A process that kept the old ones would drop off the fleet
-// at their end.
-func TestRenewedFilesCountWithoutRestart(t *testing.T) {
+// Certificates are renewed while the process runs, before they expire. A process
+// that kept the old ones could not connect to the other VMs after the expiry.
+func TestRenewedFilesAreUsedWithoutRestart(t *testing.T) {
 	dir, old := t.TempDir(), certtest.New(t)
 	r := mustNew(t, old.Issue(t, dir, "127.0.0.1"))
 	server := r.Server(ServerOptions{})
 	renewed := certtest.New(t)
 	renewed.Issue(t, dir, "127.0.0.1")
 	client := mustNew(t, renewed.Issue(t, t.TempDir(), "127.0.0.9"))
-	require.Error(t, handshake(t, server, client.Client(), "127.0.0.1"), "not looked at yet")
-	r.expire()
+	require.Error(t, handshake(t, server, client.Client(), "127.0.0.1"), "the client must be rejected until the server checks its renewed files")
+	r.forceCheck()
 	require.NoError(t, handshake(t, server, client.Client(), "127.0.0.1"))
 }
 
-// A renewal is caught half way: the new certificate is there, the new key is
-// not. The old pair has to stay in use until both fit.
-func TestHalfRenewedFilesAreNotUsed(t *testing.T) {
+// A reload happens in the middle of a renewal: the new certificate is in place, the
+// new key is not. The old pair must stay in use until certificate and key match.
+func TestMismatchedFilesAreNotUsed(t *testing.T) {
 	dir, a := t.TempDir(), certtest.New(t)
 	files := a.Issue(t, dir, "127.0.0.1")
 	r := mustNew(t, files)
@@ -98,7 +98,7 @@
 	content, err := os.ReadFile(other.Certificate)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(files.Certificate, content, 0o600))
-	r.expire()
+	r.forceCheck()
 	client := mustNew(t, a.Issue(t, t.TempDir(), "127.0.0.9"))
 	require.NoError(t, handshake(t, r.Server(ServerOptions{}), client.Client(), "127.0.0.1"))
 }
@@ -110,10 +110,10 @@
 	require.ErrorIs(t, err, ErrAuthority)
 }
 
-// expire makes the next handshake look at the files.
-func (r *Reloader) expire() {
+// forceCheck makes the next handshake read the files.
+func (r *Reloader) forceCheck() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.checked = time.Time{}
-	r.modified = [3]time.Time{}
+	r.lastCheck = time.Time{}
+	r.lastModTimes = [3]time.Time{}
 }
