--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -11,10 +11,10 @@
 	"github.com/chestnutarch/chestnutarch/internal/strictyaml"
 )
 
-// digestBytes is the length of a SHA-256 digest.
+// digestBytes is the length of a SHA-256 digest in bytes.
 const digestBytes = 32
 
-// checker collects the mistakes of one file.
+// checker collects the errors of one settings file.
 type checker struct {
 	source *strictyaml.Source
 	errs   strictyaml.Errors
@@ -63,13 +63,13 @@
 
 func (c *checker) atLeast(path string, value, least int64) {
 	if value < least {
-		c.fail(path, errors.Wrapf(ErrRange, "%d is below %d", value, least))
+		c.fail(path, errors.Wrapf(ErrRange, "%d is below the minimum of %d", value, least))
 	}
 }
 
 func (c *checker) atMost(path string, value, most int64) {
 	if value > most {
-		c.fail(path, errors.Wrapf(ErrRange, "%d is above %d", value, most))
+		c.fail(path, errors.Wrapf(ErrRange, "%d is above the maximum of %d", value, most))
 	}
 }
 
@@ -80,14 +80,14 @@
 	}
 }
 
-// protected refuses a listener that would serve plain text to other machines:
-// keys and answers could be read on the way, and nobody would notice.
-func (c *checker) protected(path, address string, certificate *Certificate, allowPlain bool) {
+// requireTLS reports an error for a listener that would serve plain text to other
+// machines: keys and answers could be read in transit without being noticed.
+func (c *checker) requireTLS(path, address string, certificate *Certificate, allowPlain bool) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil || parsed.Addr().IsLoopback() || allowPlain {
 		return
 	}
-	if !certificate.given() {
+	if !certificate.isSet() {
 		c.fail(path, errors.Wrapf(ErrPlainText, "%q", address))
 	}
 }
@@ -104,13 +104,13 @@
 
 func (c *checker) operators(keys []OperatorKey) {
 	for i, key := range keys {
-		at := fmt.Sprintf("operators[%d]", i)
-		c.required(at+".id", key.ID)
-		c.digest(at+".sha256", key.SHA256)
+		path := fmt.Sprintf("operators[%d]", i)
+		c.required(path+".id", key.ID)
+		c.digest(path+".sha256", key.SHA256)
 	}
 }
 
-// check returns every mistake in s.
+// check returns every error in s.
 func (s *Entry) check(source *strictyaml.Source) strictyaml.Errors {
 	c := &checker{source: source}
 	c.required("vm", s.VM)
@@ -130,9 +130,9 @@
 		c.url("vm_list.url", s.VMList.URL)
 	}
 	c.tls(&s.TLS)
-	c.protected("listen.callers", s.Listen.Callers, &s.TLS.Callers, s.TLS.AllowPlainText)
-	c.protected("listen.operators", s.Listen.Operators, &s.TLS.Operators, s.TLS.AllowPlainText)
-	c.protected("listen.peers", s.Listen.Peers, &s.TLS.Peers, s.TLS.AllowPlainText)
+	c.requireTLS("listen.callers", s.Listen.Callers, &s.TLS.Callers, s.TLS.AllowPlainText)
+	c.requireTLS("listen.operators", s.Listen.Operators, &s.TLS.Operators, s.TLS.AllowPlainText)
+	c.requireTLS("listen.peers", s.Listen.Peers, &s.TLS.Peers, s.TLS.AllowPlainText)
 	c.operators(s.Operators)
 	c.secrets(s.ResumeSecrets)
 	c.limits(&s.Limits)
@@ -140,7 +140,8 @@
 	return c.errs
 }
 
-// minSecretBytes keeps resume tokens from being guessed.
+// minSecretBytes is the minimum length of a secret, so that resume tokens cannot
+// be guessed.
 const minSecretBytes = 16
 
 func (c *checker) secrets(secrets []string) {
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks the YAML settings of the system's
-// processes: who a process is, where it listens, and whom it talks to. What
-// operators change while the system runs is in the environment document
-// instead (package document).
+// Package settings reads and validates the YAML settings of the system's
+// processes: the identity of a process, the addresses on which it listens, and the
+// addresses to which it connects. What operators change while the system runs is
+// in the environment document instead (package document).
 package settings
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -20,7 +20,7 @@
 	maxConfiguredHeaderSize = 1 << 20
 )
 
-// Entry is the settings of chestnut-entry.
+// Entry holds the settings of chestnut-entry.
 type Entry struct {
 	// VM identifies this VM. It is unique in the environment.
 	VM string `yaml:"vm"`
@@ -65,7 +65,8 @@
 	Metrics string `yaml:"metrics"`
 }
 
-// Advertise gives the addresses that others use. Each defaults to the listener.
+// Advertise gives the addresses that others use to reach this VM. Each defaults to
+// the address of the listener.
 type Advertise struct {
 	// Callers is "http://IP:port" or "https://IP:port".
 	Callers string `yaml:"callers"`
@@ -73,7 +74,7 @@
 	Peers string `yaml:"peers"`
 }
 
-// KV tells where the key-value service is.
+// KV configures the client of the key-value service.
 type KV struct {
 	// URLs lists the service's end points, "http://IP:port" or
 	// "https://IP:port".
@@ -82,7 +83,7 @@
 	Timeout time.Duration `yaml:"timeout"`
 }
 
-// VMList tells where the platform's VM list is.
+// VMList configures the polling of the platform's VM list.
 type VMList struct {
 	// URL is "http://IP:port" or "https://IP:port". Empty means that there is
 	// no list.
@@ -91,7 +92,7 @@
 	Interval time.Duration `yaml:"interval"`
 }
 
-// OperatorKey is the digest of an operator's key.
+// OperatorKey identifies an operator by the digest of a key.
 type OperatorKey struct {
 	// ID names the operator in logs and in the history.
 	ID string `yaml:"id"`
@@ -99,7 +100,7 @@
 	SHA256 string `yaml:"sha256"`
 }
 
-// Limits bounds what callers may ask of one VM.
+// Limits bounds the requests of callers to one VM.
 type Limits struct {
 	// MaxBodyBytes bounds a request's body. The default is 8 MiB.
 	MaxBodyBytes int64 `yaml:"max_body_bytes"`
@@ -117,7 +118,7 @@
 	DrainTimeout time.Duration `yaml:"drain_timeout"`
 }
 
-// Provision fills in the defaults.
+// Provision sets empty fields to their defaults.
 func (s *Entry) Provision() {
 	s.Log.Provision()
 	s.Traces.Provision()
--- a/internal/settings/planner.go
+++ b/internal/settings/planner.go
@@ -13,7 +13,7 @@
 	DefaultPlannerInterval = 500 * time.Millisecond
 )
 
-// Planner is the settings of chestnut-planner.
+// Planner holds the settings of chestnut-planner.
 type Planner struct {
 	// VM identifies this VM. It is unique in the environment.
 	VM string `yaml:"vm"`
@@ -46,7 +46,7 @@
 	Metrics string `yaml:"metrics"`
 }
 
-// Provision fills in the defaults.
+// Provision sets empty fields to their defaults.
 func (s *Planner) Provision() {
 	s.Log.Provision()
 	s.Traces.Provision()
@@ -55,7 +55,7 @@
 	setDefault(&s.Interval, DefaultPlannerInterval)
 }
 
-// check returns every mistake in s.
+// check returns every error in s.
 func (s *Planner) check(source *strictyaml.Source) strictyaml.Errors {
 	c := &checker{source: source}
 	c.required("vm", s.VM)
@@ -65,7 +65,7 @@
 	c.optionalAddress("listen.metrics", s.Listen.Metrics)
 	c.kv(&s.KV)
 	c.tls(&s.TLS)
-	c.protected("listen.peers", s.Listen.Peers, &s.TLS.Peers, s.TLS.AllowPlainText)
+	c.requireTLS("listen.peers", s.Listen.Peers, &s.TLS.Peers, s.TLS.AllowPlainText)
 	c.atLeast("lease", int64(s.Lease), int64(time.Second))
 	c.atLeast("interval", int64(s.Interval), int64(time.Millisecond))
 	c.telemetry(s.Log.Validate(), s.Traces.Validate())
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -8,26 +8,27 @@
 	"github.com/chestnutarch/chestnutarch/internal/strictyaml"
 )
 
-// checked is a group of settings that knows its defaults and its rules.
-type checked interface {
+// checkable is a settings type with defaults and validation rules.
+type checkable interface {
 	Provision()
 	check(source *strictyaml.Source) strictyaml.Errors
 }
 
 // ReadEntry reads chestnut-entry's settings. It returns ErrRead, or
-// strictyaml.Errors with the file, line and path of every mistake.
+// strictyaml.Errors with the file, line and path of every error.
 func ReadEntry(file string) (*Entry, error) {
 	s := &Entry{}
 	return s, read(file, s)
 }
 
-// ReadPlanner reads chestnut-planner's settings, as ReadEntry does.
+// ReadPlanner reads chestnut-planner's settings. Its errors are those of
+// ReadEntry.
 func ReadPlanner(file string) (*Planner, error) {
 	s := &Planner{}
 	return s, read(file, s)
 }
 
-func read(file string, s checked) error {
+func read(file string, s checkable) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return errors.Wrap(ErrRead, err.Error())
@@ -35,9 +36,10 @@
 	return parse(data, file, s)
 }
 
-// parse decodes, fills in defaults and checks. The checks run only on a text
-// that decodes, since a field that did not decode would be reported twice.
-func parse(data []byte, file string, s checked) error {
+// parse decodes data, sets defaults and validates the result. Validation is skipped
+// if decoding fails, because a field that cannot be decoded would be reported
+// twice.
+func parse(data []byte, file string, s checkable) error {
 	source, err := strictyaml.Decode(data, file, s)
 	if err != nil {
 		return err
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -15,13 +15,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write docs/SETTINGS.md anew")
+var update = flag.Bool("update", false, "regenerate docs/SETTINGS.md")
 
 const referenceFile = "../../docs/SETTINGS.md"
 
-// An operator reads in the reference of a setting that a newer version has
-// renamed, and the process refuses the file. The reference is made from the
-// structs and their comments, so that it cannot differ from what is decoded.
+// An operator uses a setting that the reference documents under an outdated name,
+// and the process rejects the file. The reference is generated from the structs
+// and their comments, so that it cannot differ from what is decoded.
 func TestReferenceIsCurrent(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("# Settings\n\nMade from the comments in `internal/settings` and `internal/telemetry` by\n")
@@ -37,16 +37,16 @@
 	if *update {
 		require.NoError(t, os.WriteFile(referenceFile, []byte(b.String()), 0o644))
 	}
-	have, err := os.ReadFile(referenceFile)
+	current, err := os.ReadFile(referenceFile)
 	require.NoError(t, err)
-	require.Equal(t, b.String(), string(have), "run with -update")
+	require.Equal(t, b.String(), string(current), "docs/SETTINGS.md is out of date: run this test with -update")
 }
 
 func writeFields(t *testing.T, b *strings.Builder, of reflect.Type, prefix string, comments map[string]string) {
 	for _, f := range reflect.VisibleFields(of) {
 		path := prefix + f.Tag.Get("yaml")
 		comment := comments[of.Name()+"."+f.Name]
-		require.NotEmpty(t, comment, "%s.%s has no comment", of.Name(), f.Name)
+		require.NotEmpty(t, comment, "field %s.%s has no doc comment", of.Name(), f.Name)
 		fmt.Fprintf(b, "| `%s` | %s | %s |\n", path, kindOf(f.Type), comment)
 		switch {
 		case f.Type.Kind() == reflect.Struct:
@@ -77,7 +77,7 @@
 	return "whole number"
 }
 
-// fieldComments maps "Struct.Field" to the field's comment in one line.
+// fieldComments maps "Struct.Field" to the field's doc comment, joined to one line.
 func fieldComments(t *testing.T, dirs ...string) map[string]string {
 	comments := make(map[string]string)
 	for _, dir := range dirs {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -28,22 +28,22 @@
 	require.Equal(t, "info", s.Log.Level)
 }
 
-// An operator makes a mistake in a VM's settings. A process that started all
-// the same would serve in the wrong place or without protection, and a message
-// without the place would have to be searched for.
-func TestEntryMistakesAreNamedWithTheirPlace(t *testing.T) {
+// An operator makes an error in a VM's settings. If the process started anyway, it
+// would listen on the wrong address or without TLS. If the message did not give
+// the line and path, the operator would have to search the file.
+func TestEntryErrorsNameLineAndPath(t *testing.T) {
 	cases := []struct {
 		name, add, want string
 		is              error
 	}{
 		{"unknown field", "vmm: x\n", "entry.yaml:8: vmm", strictyaml.ErrUnknownField},
-		{"name for an address", "peers: [entry-2:8082]\n", "entry.yaml:8: peers[0]", ErrNotIPAddress},
-		{"name in a URL", "vm_list: {url: \"http://vms.example\"}\n", "entry.yaml:8: vm_list.url", ErrNotURL},
-		{"bad digest", "operators: [{id: eva, sha256: ab}]\n", "entry.yaml:8: operators[0].sha256", ErrNotDigest},
-		{"half a certificate", "tls: {callers: {certificate: a.pem}}\n", "entry.yaml:8: tls.callers", ErrIncomplete},
-		{"bad level", "log: {level: loud}\n", "entry.yaml:8: log", nil},
+		{"host name in an address", "peers: [entry-2:8082]\n", "entry.yaml:8: peers[0]", ErrNotIPAddress},
+		{"host name in a URL", "vm_list: {url: \"http://vms.example\"}\n", "entry.yaml:8: vm_list.url", ErrNotURL},
+		{"invalid digest", "operators: [{id: eva, sha256: ab}]\n", "entry.yaml:8: operators[0].sha256", ErrNotDigest},
+		{"certificate without key", "tls: {callers: {certificate: a.pem}}\n", "entry.yaml:8: tls.callers", ErrIncomplete},
+		{"invalid log level", "log: {level: loud}\n", "entry.yaml:8: log", nil},
 		{"too large", "limits: {max_body_bytes: 999999999999}\n", "entry.yaml:8: limits.max_body_bytes", ErrRange},
-		{"sampled share", "traces: {sampled_share: 2}\n", "entry.yaml:8: traces", nil},
+		{"sampled share above 1", "traces: {sampled_share: 2}\n", "entry.yaml:8: traces", nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -56,9 +56,9 @@
 	}
 }
 
-// A VM is set up without certificates. On any address but loopback, callers'
-// keys would then cross the network readable to all, and nobody would notice.
-func TestPlainTextIsOnlyForLoopback(t *testing.T) {
+// A VM is configured without certificates. On any address but loopback, callers'
+// keys would then be sent over the network in plain text without being noticed.
+func TestPlainTextIsOnlyAllowedOnLoopback(t *testing.T) {
 	public := `
 vm: entry-1
 environment: trial
@@ -88,8 +88,9 @@
 	require.ErrorIs(t, err, ErrRead)
 }
 
-// A newcomer copies an example that a later version no longer accepts.
-func TestExamplesAreAccepted(t *testing.T) {
+// The example files must be valid, so that a new user does not copy one that the
+// current version rejects.
+func TestExamplesAreValid(t *testing.T) {
 	_, err := ReadEntry("../../examples/entry.yaml")
 	require.NoError(t, err)
 	_, err = ReadPlanner("../../examples/planner.yaml")
--- a/internal/settings/tls.go
+++ b/internal/settings/tls.go
@@ -1,7 +1,7 @@
 package settings
 
-// TLS gives the certificates of a process. Files are read again when they
-// change, without a restart.
+// TLS gives the certificates of a process. Files are reloaded when they change,
+// without a restart.
 type TLS struct {
 	// Callers is what callers are served with.
 	Callers Certificate `yaml:"callers"`
@@ -22,7 +22,7 @@
 	AllowPlainText bool `yaml:"allow_plain_text"`
 }
 
-// Certificate names PEM files.
+// Certificate holds the paths of PEM files.
 type Certificate struct {
 	// Certificate is the file of the certificate chain.
 	Certificate string `yaml:"certificate"`
@@ -33,27 +33,27 @@
 	Authority string `yaml:"authority"`
 }
 
-func (c *Certificate) given() bool { return c.Certificate != "" }
+func (c *Certificate) isSet() bool { return c.Certificate != "" }
 
 func (c *Certificate) scheme() string {
-	if c.given() {
+	if c.isSet() {
 		return "https"
 	}
 	return "http"
 }
 
 func (c *checker) tls(t *TLS) {
-	c.pair("tls.callers", &t.Callers)
-	c.pair("tls.operators", &t.Operators)
-	c.pair("tls.peers", &t.Peers)
-	c.pair("tls.upstreams", &t.Upstreams)
-	c.pair("tls.kv", &t.KV)
-	if t.Peers.given() && t.Peers.Authority == "" {
+	c.certificatePair("tls.callers", &t.Callers)
+	c.certificatePair("tls.operators", &t.Operators)
+	c.certificatePair("tls.peers", &t.Peers)
+	c.certificatePair("tls.upstreams", &t.Upstreams)
+	c.certificatePair("tls.kv", &t.KV)
+	if t.Peers.isSet() && t.Peers.Authority == "" {
 		c.fail("tls.peers.authority", ErrIncomplete)
 	}
 }
 
-func (c *checker) pair(path string, certificate *Certificate) {
+func (c *checker) certificatePair(path string, certificate *Certificate) {
 	if (certificate.Certificate == "") != (certificate.Key == "") {
 		c.fail(path, ErrIncomplete)
 	}
