--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -12,16 +12,16 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Source remembers where each field of a decoded text stands, so that checks
-// made after decoding can name the place too.
+// Source holds the line of each field of a decoded text, so that validation after
+// decoding can report locations too.
 type Source struct {
 	// File is the name that the text was read from.
 	File  string
 	lines map[string]int
 }
 
-// At returns err as a mistake in the field with this path. A field that the
-// text leaves out is reported at its nearest parent.
+// At returns err as an error of the field with this path. A field that is missing
+// from the text is reported at the line of its nearest parent.
 func (s *Source) At(path string, err error) *FieldError {
 	return &FieldError{File: s.File, Line: s.line(path), Path: path, Err: err}
 }
@@ -37,8 +37,8 @@
 }
 
 // Decode reads one YAML document into out, a pointer to a struct with yaml
-// tags. It returns Errors with every mistake found; the source is usable even
-// then. An empty text decodes to the zero value.
+// tags. It returns Errors with every error found; the source is valid even then.
+// An empty text leaves out unchanged.
 func Decode(data []byte, file string, out any) (*Source, error) {
 	s := &Source{File: file, lines: map[string]int{"": 1}}
 	var document yaml.Node
@@ -73,8 +73,8 @@
 }
 
 var (
-	unmarshaler  = reflect.TypeFor[yaml.Unmarshaler]()
-	durationType = reflect.TypeFor[time.Duration]()
+	unmarshalerType = reflect.TypeFor[yaml.Unmarshaler]()
+	durationType    = reflect.TypeFor[time.Duration]()
 )
 
 func (d *decoder) value(n *yaml.Node, out reflect.Value, path string) {
@@ -85,7 +85,7 @@
 	if n.Tag == "!!null" {
 		return
 	}
-	if out.Addr().Type().Implements(unmarshaler) || out.Type() == durationType {
+	if out.Addr().Type().Implements(unmarshalerType) || out.Type() == durationType {
 		d.leaf(n, out, path)
 		return
 	}
@@ -106,7 +106,7 @@
 
 func (d *decoder) leaf(n *yaml.Node, out reflect.Value, path string) {
 	if err := n.Decode(out.Addr().Interface()); err != nil {
-		d.fail(n, path, errors.Wrapf(ErrBadValue, "%q is no %s (%s)", n.Value, kindName(out.Type()), firstLine(err)))
+		d.fail(n, path, errors.Wrapf(ErrBadValue, "%q is not a valid %s (%s)", n.Value, kindName(out.Type()), firstLine(err)))
 	}
 }
 
@@ -120,7 +120,7 @@
 	case t == durationType:
 		return "duration"
 	case t.Kind() == reflect.Bool:
-		return "truth value"
+		return "boolean"
 	case t.Kind() >= reflect.Int && t.Kind() <= reflect.Uint64:
 		return "whole number"
 	case t.Kind() == reflect.Float64:
@@ -131,24 +131,24 @@
 
 func (d *decoder) structure(n *yaml.Node, out reflect.Value, path string) {
 	if n.Kind != yaml.MappingNode {
-		d.fail(n, path, errors.Wrap(ErrBadValue, "expected fields"))
+		d.fail(n, path, errors.Wrap(ErrBadValue, "expected a mapping of fields"))
 		return
 	}
 	fields := fieldsByName(out.Type())
 	seen := make(map[string]bool)
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key, value := n.Content[i], n.Content[i+1]
-		at := join(path, key.Value)
+		fieldPath := join(path, key.Value)
 		index, known := fields[key.Value]
 		switch {
 		case !known:
-			d.fail(key, at, ErrUnknownField)
+			d.fail(key, fieldPath, ErrUnknownField)
 		case seen[key.Value]:
-			d.fail(key, at, ErrDuplicateField)
+			d.fail(key, fieldPath, ErrDuplicateField)
 		default:
 			seen[key.Value] = true
-			d.value(value, out.FieldByIndex(index), at)
-			d.source.lines[at] = key.Line
+			d.value(value, out.FieldByIndex(index), fieldPath)
+			d.source.lines[fieldPath] = key.Line
 		}
 	}
 }
@@ -167,21 +167,21 @@
 
 func (d *decoder) mapping(n *yaml.Node, out reflect.Value, path string) {
 	if n.Kind != yaml.MappingNode {
-		d.fail(n, path, errors.Wrap(ErrBadValue, "expected names and values"))
+		d.fail(n, path, errors.Wrap(ErrBadValue, "expected a mapping of names to values"))
 		return
 	}
 	m := reflect.MakeMapWithSize(out.Type(), len(n.Content)/2)
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key, value := n.Content[i], n.Content[i+1]
-		at := join(path, key.Value)
+		fieldPath := join(path, key.Value)
 		k := reflect.New(out.Type().Key()).Elem()
-		d.leaf(key, k, at)
+		d.leaf(key, k, fieldPath)
 		if m.MapIndex(k).IsValid() {
-			d.fail(key, at, ErrDuplicateField)
+			d.fail(key, fieldPath, ErrDuplicateField)
 			continue
 		}
 		v := reflect.New(out.Type().Elem()).Elem()
-		d.value(value, v, at)
+		d.value(value, v, fieldPath)
 		m.SetMapIndex(k, v)
 	}
 	out.Set(m)
@@ -194,7 +194,7 @@
 	return path + "." + name
 }
 
-// fieldsByName maps the YAML names of t's fields to their places.
+// fieldsByName maps the YAML names of t's fields to their indexes.
 func fieldsByName(t reflect.Type) map[string][]int {
 	fields := make(map[string][]int)
 	for _, f := range reflect.VisibleFields(t) {
--- a/internal/strictyaml/decode_test.go
+++ b/internal/strictyaml/decode_test.go
@@ -29,9 +29,9 @@
 	require.InDelta(t, 0.5, *out.Share, 0)
 }
 
-// An operator mistypes a field at night. Without the place of the mistake, a
-// document of a thousand lines has to be read from the start.
-func TestDecodeNamesThePlaceOfEveryMistake(t *testing.T) {
+// An operator misspells a field. If the error did not give the location, a document
+// of a thousand lines would have to be searched.
+func TestDecodeReportsTheLocationOfEveryError(t *testing.T) {
 	cases := []struct {
 		name, text, want string
 		is               error
@@ -39,8 +39,8 @@
 		{"unknown field", "count: 1\ncuont: 2\n", "a.yaml:2: cuont: unknown field", ErrUnknownField},
 		{"nested", "items:\n- name: a\n- nmae: b\n", "a.yaml:3: items[1].nmae: unknown field", ErrUnknownField},
 		{"given twice", "count: 1\ncount: 2\n", "a.yaml:2: count: field given twice", ErrDuplicateField},
-		{"bad number", "count: many\n", `a.yaml:1: count: "many" is no whole number`, ErrBadValue},
-		{"bad duration", "items:\n- wait: soon\n", `a.yaml:2: items[0].wait: "soon" is no duration`, ErrBadValue},
+		{"bad number", "count: many\n", `a.yaml:1: count: "many" is not a valid whole number`, ErrBadValue},
+		{"bad duration", "items:\n- wait: soon\n", `a.yaml:2: items[0].wait: "soon" is not a valid duration`, ErrBadValue},
 		{"not a list", "items: 3\n", "a.yaml:1: items: expected a list", ErrBadValue},
 		{"not YAML", "count: [1\n", "a.yaml:", ErrSyntax},
 	}
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestSourceReportsLeftOutFieldAtItsParent(t *testing.T) {
+func TestSourceReportsMissingFieldAtItsParent(t *testing.T) {
 	var out outer
 	source, err := Decode([]byte("count: 1\nitems:\n- name: a\n"), "a.yaml", &out)
 	require.NoError(t, err)
--- a/internal/strictyaml/doc.go
+++ b/internal/strictyaml/doc.go
@@ -1,4 +1,4 @@
-// Package strictyaml decodes YAML into typed structs and says of every mistake
-// in which file, on which line and under which path it stands. Unknown fields,
-// repeated fields and values of the wrong kind are mistakes.
+// Package strictyaml decodes YAML into typed structs and reports every error with
+// its file, line and path. Unknown fields, duplicate fields and values of the
+// wrong kind are errors.
 package strictyaml
--- a/internal/strictyaml/errors.go
+++ b/internal/strictyaml/errors.go
@@ -10,7 +10,7 @@
 var (
 	// ErrSyntax means that the text is not YAML.
 	ErrSyntax = errors.New("not valid YAML")
-	// ErrUnknownField means that no setting has this name.
+	// ErrUnknownField means that no field has this name.
 	ErrUnknownField = errors.New("unknown field")
 	// ErrDuplicateField means that a field is given twice.
 	ErrDuplicateField = errors.New("field given twice")
@@ -18,19 +18,20 @@
 	ErrBadValue = errors.New("bad value")
 )
 
-// FieldError is one mistake with its place.
+// FieldError is an error with its location.
 type FieldError struct {
 	// File is the name that the text was read from.
 	File string
-	// Line counts from 1. It is 0 where no line is known.
+	// Line is the line number, starting at 1. It is 0 if the line is not known.
 	Line int
-	// Path leads to the field, for example "teams[2].rate".
+	// Path is the path of the field, for example "teams[2].rate". It is empty for
+	// the document as a whole.
 	Path string
-	// Err is the mistake.
+	// Err is the cause.
 	Err error
 }
 
-// Error returns "file:line: path: mistake".
+// Error returns "file:line: path: cause", without the parts that are not known.
 func (e *FieldError) Error() string {
 	var b strings.Builder
 	b.WriteString(e.File)
@@ -45,13 +46,13 @@
 	return b.String()
 }
 
-// Unwrap returns the mistake, for errors.Is.
+// Unwrap returns the cause, for errors.Is.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// Errors is every mistake that was found, in the order of the text.
+// Errors holds every error that was found, in the order of the text.
 type Errors []*FieldError
 
-// Error returns one mistake a line.
+// Error returns the texts of the errors, one per line.
 func (e Errors) Error() string {
 	lines := make([]string, len(e))
 	for i, err := range e {
@@ -60,7 +61,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns the mistakes, for errors.Is and errors.As.
+// Unwrap returns the errors, for errors.Is and errors.As.
 func (e Errors) Unwrap() []error {
 	all := make([]error, len(e))
 	for i, err := range e {
@@ -69,8 +70,8 @@
 	return all
 }
 
-// OrNil returns nil if there are no mistakes, so that an empty list does not
-// become an error that is not nil.
+// OrNil returns nil if e is empty, so that an empty list does not become a non-nil
+// error.
 func (e Errors) OrNil() error {
 	if len(e) == 0 {
 		return nil
