--- a/internal/address/book.go
+++ b/internal/address/book.go
@@ -9,96 +9,100 @@
 	"github.com/pkg/errors"
 )
 
-// ErrNoVM means that no VM is known that callers could use.
-var ErrNoVM = errors.New("address: no VM to name")
+// ErrNoVM means that there is no VM that callers could use.
+var ErrNoVM = errors.New("address: no VM available: all known VMs are leaving, or none is known")
 
-// VM is what is known of one entry VM.
+// VM is the known state of one entry VM.
 type VM struct {
 	// Name identifies the VM.
 	Name string
-	// URL is the address for callers, with scheme.
+	// URL is the address for callers, including the scheme.
 	URL string
-	// FailureDomain is where the VM stands.
+	// FailureDomain is the VM's failure domain.
 	FailureDomain string
-	// Ready means that the VM is heard of and says that it takes callers.
+	// Ready means that heartbeats of the VM arrive and state that it accepts
+	// callers.
 	Ready bool
-	// Leaving means that the VM is shutting down, by its own word or by the
-	// platform's list, whichever came first.
+	// Leaving means that the VM is shutting down, according to its heartbeat or to
+	// the platform's VM list, whichever reports it first.
 	Leaving bool
-	// Capacity is how many requests the VM can have in flight.
+	// Capacity is the number of requests that the VM can have in flight. If it is
+	// not positive, 1000 is used.
 	Capacity int64
-	// InFlight is how many it had when it was last heard.
+	// InFlight is the number of requests in flight as of the last heartbeat.
 	InFlight int64
-	// HeardAt is when that was, by this VM's clock.
+	// HeardAt is when the last heartbeat arrived, by this VM's clock.
 	HeardAt time.Time
 }
 
 // Options configures a Book. The zero value takes every default.
 type Options struct {
-	// Lifetime is how long an answer may be kept, before jitter. The default is
+	// Lifetime is how long an answer may be cached, before jitter. The default is
 	// 15s.
 	Lifetime time.Duration
-	// Jitter is the share by which a lifetime is lengthened or shortened at
-	// random, from 0 to 1. The default is 0.25.
+	// Jitter is the maximum fraction by which a lifetime is randomly lengthened or
+	// shortened, from 0 to 1. The default is 0.25.
 	Jitter float64
 	// Addresses is the number of VMs in an answer. The default is 4.
 	Addresses int
-	// Overflow is the share of a VM's capacity up to which callers are kept in
-	// their own failure domain. The default is 0.7.
-	Overflow float64
+	// SpilloverUtilization is the fraction of a VM's capacity up to which the VM is
+	// preferred for callers of its own failure domain. The default is 0.7.
+	SpilloverUtilization float64
 }
 
 // The defaults of Options.
 const (
-	DefaultLifetime  = 15 * time.Second
-	DefaultJitter    = 0.25
-	DefaultAddresses = 4
-	DefaultOverflow  = 0.7
+	DefaultLifetime             = 15 * time.Second
+	DefaultJitter               = 0.25
+	DefaultAddresses            = 4
+	DefaultSpilloverUtilization = 0.7
 )
 
-// minWeight is the weight of a VM without spare capacity, as a share of the
-// whole capacity. A VM that looks full is still named now and then: the figure is
-// old, and with a weight of 0 all callers would move together when it changes.
+// minWeight is the weight of a VM without spare capacity, as a fraction of its
+// capacity. A VM that appears full is still selected occasionally: the reported
+// load is outdated, and with a weight of 0 all callers would move at the same time
+// when it changes.
 const minWeight = 0.02
 
-// taken is the key of a VM that has been drawn.
-const taken = -1
+// drawnKey is the key of a VM that has already been drawn.
+const drawnKey = -1
 
-// defaultCapacity is taken for a VM that does not say how much it can do.
+// defaultCapacity is used for a VM that does not report its capacity.
 const defaultCapacity = 1000
 
-// Answer says which VMs to use, the best first.
+// Answer lists the VMs that a caller should use.
 type Answer struct {
-	// VMs are in the order in which to try them.
+	// VMs are in the order in which to try them, the preferred one first.
 	VMs []VM
-	// Lifetime is how long the answer may be kept.
+	// Lifetime is how long the answer may be cached.
 	Lifetime time.Duration
 }
 
-// Book holds the VMs and what was answered since they were last heard. It
-// belongs to one goroutine.
+// Book holds the VMs and counts the answers given since their last heartbeats. It
+// is not safe for concurrent use.
 type Book struct {
 	options Options
 	vms     []VM
-	named   map[string]named
+	counts  map[string]answerCount
 	faults  faults
 }
 
-// faults are planted by tests, to show that their oracles find them.
+// faults are injected by tests to verify that the oracles detect them.
 type faults struct {
-	// keepLeaving goes on naming VMs that are leaving.
-	keepLeaving bool
-	// forgetNamed goes by the heartbeats alone.
-	forgetNamed bool
+	// includeLeaving keeps VMs that are leaving in answers.
+	includeLeaving bool
+	// ignoreCounts estimates the utilization from heartbeats alone.
+	ignoreCounts bool
 }
 
-// named counts the answers whose first address was a VM.
-type named struct {
+// answerCount counts the answers in which a VM was first, since the heartbeat at
+// heardAt.
+type answerCount struct {
 	heardAt time.Time
 	count   int64
 }
 
-// New returns an empty book.
+// New returns a Book without VMs. Zero options are replaced by their defaults.
 func New(o Options) *Book {
 	if o.Lifetime == 0 {
 		o.Lifetime = DefaultLifetime
@@ -109,60 +113,60 @@
 	if o.Addresses == 0 {
 		o.Addresses = DefaultAddresses
 	}
-	if o.Overflow == 0 {
-		o.Overflow = DefaultOverflow
+	if o.SpilloverUtilization == 0 {
+		o.SpilloverUtilization = DefaultSpilloverUtilization
 	}
-	return &Book{options: o, named: make(map[string]named)}
+	return &Book{options: o, counts: make(map[string]answerCount)}
 }
 
-// MaxLifetime returns the longest lifetime that an answer can have. A VM that is
-// leaving goes on taking callers for that long after it was last named.
+// MaxLifetime returns the maximum lifetime of an answer. A VM that is leaving must
+// accept callers for that long after the last answer that contains it.
 func (b *Book) MaxLifetime() time.Duration {
 	return time.Duration(float64(b.options.Lifetime) * (1 + b.options.Jitter))
 }
 
-// SetVMs takes what is known now. A VM that was heard since starts with a new
-// count of answers.
+// SetVMs replaces the known VMs. The answer count of a VM is reset if a heartbeat has
+// arrived since the previous call.
 func (b *Book) SetVMs(vms []VM) {
 	b.vms = slices.Clone(vms)
-	kept := make(map[string]named, len(vms))
+	kept := make(map[string]answerCount, len(vms))
 	for i := range b.vms {
 		v := &b.vms[i]
 		if v.Capacity <= 0 {
 			v.Capacity = defaultCapacity
 		}
-		n := b.named[v.Name]
+		n := b.counts[v.Name]
 		if v.HeardAt.After(n.heardAt) {
-			n = named{heardAt: v.HeardAt}
+			n = answerCount{heardAt: v.HeardAt}
 		}
 		kept[v.Name] = n
 	}
-	b.named = kept
+	b.counts = kept
 }
 
-// Answer draws the VMs for one caller. The caller's failure domain may be empty.
-// Peers is the number of VMs that answer likewise, this one included. It returns
-// ErrNoVM if nothing can be named.
+// Answer draws the VMs for one caller. The domain is the caller's failure domain and
+// may be empty. The number of VMs that answer callers in the same way, including
+// this one, is peers. Answer returns ErrNoVM if there is no candidate.
 func (b *Book) Answer(domain string, peers int, rng *rand.Rand) (Answer, error) {
 	candidates := b.candidates()
 	if len(candidates) == 0 {
 		return Answer{}, ErrNoVM
 	}
 	vms := b.draw(candidates, domain, max(1, peers), rng)
-	b.count(vms[0].Name)
+	b.countAnswer(vms[0].Name)
 	return Answer{VMs: vms, Lifetime: b.lifetime(rng)}, nil
 }
 
-// candidates returns the indexes of the VMs to draw from: the ready ones. If no
-// VM is ready as far as is known here, the fault may be this VM's own view, and
-// the VMs that are not leaving are named rather than none.
+// candidates returns the indexes of the VMs to draw from: the ready ones that are
+// not leaving. If there is none, this VM's view may be wrong, so that all VMs that
+// are not leaving are returned.
 func (b *Book) candidates() []int {
 	ready := make([]int, 0, len(b.vms))
 	var others []int
 	for i := range b.vms {
 		v := &b.vms[i]
 		switch {
-		case v.Leaving && !b.faults.keepLeaving:
+		case v.Leaving && !b.faults.includeLeaving:
 		case v.Ready:
 			ready = append(ready, i)
 		default:
@@ -175,17 +179,17 @@
 	return others
 }
 
-// draw takes VMs by a weighted random draw without replacement (Efraimidis and
+// draw selects VMs by weighted random sampling without replacement (Efraimidis and
 // Spirakis, 2006): the key of a VM with weight w is the w-th root of a uniform
-// number, and the largest keys win. VMs of the caller's failure domain that have
-// room go first.
+// random number, and the VMs with the largest keys are selected. VMs of the
+// caller's failure domain below the spillover utilization come first.
 func (b *Book) draw(candidates []int, domain string, peers int, rng *rand.Rand) []VM {
 	keys := make([]float64, len(candidates))
 	for k, i := range candidates {
 		v := &b.vms[i]
-		used := b.used(v, peers)
-		keys[k] = math.Pow(rng.Float64(), 1/max(minWeight, 1-used))
-		if v.FailureDomain == domain && used < b.options.Overflow {
+		utilization := b.utilization(v, peers)
+		keys[k] = math.Pow(rng.Float64(), 1/max(minWeight, 1-utilization))
+		if v.FailureDomain == domain && utilization < b.options.SpilloverUtilization {
 			keys[k]++
 		}
 	}
@@ -197,28 +201,28 @@
 				best = k
 			}
 		}
-		keys[best] = taken
+		keys[best] = drawnKey
 		out = append(out, b.vms[candidates[best]])
 	}
 	return out
 }
 
-// used estimates the share of a VM's capacity that is taken: what it said when
-// it was last heard, and the callers that were sent there since by all VMs. A
-// heartbeat lags; a flash crowd would be sent to the VM that was idle at the
-// last one.
-func (b *Book) used(v *VM, peers int) float64 {
-	since := b.named[v.Name].count * int64(peers)
-	if b.faults.forgetNamed {
+// utilization estimates the fraction of a VM's capacity that is in use: the
+// requests in flight as of its last heartbeat, plus the callers that all VMs have
+// sent there since. Without the second part, a flash crowd would be sent to the VM
+// that was idle at its last heartbeat.
+func (b *Book) utilization(v *VM, peers int) float64 {
+	since := b.counts[v.Name].count * int64(peers)
+	if b.faults.ignoreCounts {
 		since = 0
 	}
 	return float64(v.InFlight+since) / float64(v.Capacity)
 }
 
-func (b *Book) count(name string) {
-	n := b.named[name]
+func (b *Book) countAnswer(name string) {
+	n := b.counts[name]
 	n.count++
-	b.named[name] = n
+	b.counts[name] = n
 }
 
 func (b *Book) lifetime(rng *rand.Rand) time.Duration {
--- a/internal/address/book_test.go
+++ b/internal/address/book_test.go
@@ -35,66 +35,67 @@
 	return vms
 }
 
-// flashCrowd lets callers ask between two heartbeats and returns how many each VM
-// got as first address.
+// flashCrowd answers a number of callers between two heartbeats and returns, for
+// each VM, the number of answers in which it was first.
 func flashCrowd(f faults, callers int, domain string, vms []VM) map[string]int {
 	b := New(Options{})
 	b.faults = f
 	b.SetVMs(vms)
 	rng := rand.New(rand.NewPCG(1, 1))
-	got := make(map[string]int)
+	firsts := make(map[string]int)
 	for range callers {
 		answer, err := b.Answer(domain, 1, rng)
 		if err != nil {
 			continue
 		}
-		got[answer.VMs[0].Name]++
+		firsts[answer.VMs[0].Name]++
 	}
-	return got
+	return firsts
 }
 
-func most(got map[string]int) int {
-	top := 0
-	for _, n := range got {
-		top = max(top, n)
+func maxCount(counts map[string]int) int {
+	largest := 0
+	for _, n := range counts {
+		largest = max(largest, n)
 	}
-	return top
+	return largest
 }
 
-// Thousands of callers come within a minute, and all of them ask the same VM before the
-// next heartbeat. The VM that was idle at the last one must not get them all,
-// nor may the callers' own failure domain.
-func TestFlashCrowdIsSpread(t *testing.T) {
+// Thousands of callers arrive within a minute, and all of them ask the same VM before the
+// next heartbeat. Neither the VM that was idle at the last heartbeat nor the callers'
+// failure domain may receive all of them.
+func TestFlashCrowdIsDistributed(t *testing.T) {
 	const callers = 420
 	vms := fleet(7)
-	require.Less(t, most(flashCrowd(faults{}, callers, "", vms)), 90)
-	require.Less(t, most(flashCrowd(faults{}, callers, "d0", vms)), 110)
+	require.Less(t, maxCount(flashCrowd(faults{}, callers, "", vms)), 90)
+	require.Less(t, maxCount(flashCrowd(faults{}, callers, "d0", vms)), 110)
 	for i := range vms {
 		vms[i].InFlight = 95
 	}
 	vms[3].InFlight = 0
-	require.Less(t, most(flashCrowd(faults{}, callers, "", vms)), 150)
-	require.Greater(t, most(flashCrowd(faults{forgetNamed: true}, callers, "", vms)), 300)
+	require.Less(t, maxCount(flashCrowd(faults{}, callers, "", vms)), 150)
+	require.Greater(t, maxCount(flashCrowd(faults{ignoreCounts: true}, callers, "", vms)), 300)
 }
 
-// walk checks each answer against the VMs as they are.
-func walk(f faults) oracle.Walk {
+// randomWalk applies random changes to the VMs and checks each answer against the
+// current VMs.
+func randomWalk(f faults) oracle.Walk {
 	return func(t *rapid.T, o require.TestingT) {
 		b := New(Options{})
 		b.faults = f
 		vms := fleet(7)
 		now := start
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		one := rapid.IntRange(0, len(vms)-1)
+		vmIndex := rapid.IntRange(0, len(vms)-1)
 		t.Repeat(map[string]func(*rapid.T){
 			"heartbeat": func(t *rapid.T) {
-				v := &vms[one.Draw(t, "vm")]
+				v := &vms[vmIndex.Draw(t, "vm")]
 				now = now.Add(time.Second)
 				v.HeardAt, v.InFlight, v.Ready = now, rapid.Int64Range(0, 300).Draw(t, "in flight"), rapid.Bool().Draw(t, "ready")
 				b.SetVMs(vms)
 			},
 			"leave": func(t *rapid.T) {
-				vms[one.Draw(t, "vm")].Leaving = rapid.Bool().Draw(t, "leaving")
+				vms[vmIndex.Draw(t, "vm")].Leaving = rapid.Bool().Draw(t, "leaving")
 				b.SetVMs(vms)
 			},
 			"ask": func(t *rapid.T) {
@@ -107,10 +108,10 @@
 }
 
 func checkAnswer(o require.TestingT, vms []VM, answer Answer, err error) {
-	staying, ready := 0, 0
+	notLeaving, ready := 0, 0
 	for _, v := range vms {
 		if !v.Leaving {
-			staying++
+			notLeaving++
 		}
 		if v.Ready && !v.Leaving {
 			ready++
@@ -121,35 +122,36 @@
 		return
 	}
 	for i, v := range answer.VMs {
-		truth := vms[slices.IndexFunc(vms, func(t VM) bool { return t.Name == v.Name })]
-		require.False(o, truth.Leaving, "a leaving VM was named")
-		require.True(o, truth.Ready || ready == 0, "a VM that is not ready was named beside ready ones")
+		current := vms[slices.IndexFunc(vms, func(t VM) bool { return t.Name == v.Name })]
+		require.False(o, current.Leaving, "a leaving VM was returned")
+		require.True(o, current.Ready || ready == 0, "a VM that is not ready was returned although ready VMs exist")
 		require.False(o, slices.ContainsFunc(answer.VMs[:i], func(t VM) bool { return t.Name == v.Name }))
 	}
-	require.Positive(o, staying)
+	require.Positive(o, notLeaving)
 }
 
-// VMs come, go and fill up. A caller would notice an address that takes nobody.
-func TestAnswersNameOnlyVMsThatTakeCallers(t *testing.T) {
+// VMs become ready, leave and fill up. A caller whose answer contains a VM that does
+// not accept callers would fail to connect.
+func TestAnswersContainOnlyVMsThatAcceptCallers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(Options{})
 		_, err := b.Answer("", 1, rand.New(rand.NewPCG(0, 0)))
 		require.ErrorIs(t, err, ErrNoVM)
-		walk(faults{})(t, t)
+		randomWalk(faults{})(t, t)
 	})
 }
 
-func TestPlantedFaultIsFound(t *testing.T) {
-	first := oracle.FirstSeed(50, walk(faults{keepLeaving: true}))
+func TestOracleDetectsInjectedFault(t *testing.T) {
+	first := oracle.FirstSeed(50, randomWalk(faults{includeLeaving: true}))
 	require.NotEqual(t, oracle.NotFound, first)
-	t.Logf("keepLeaving: found with seed %d", first)
+	t.Logf("includeLeaving: detected with seed %d", first)
 }
 
-func TestStopWaitsForOldAnswers(t *testing.T) {
+func TestStopWaitsForCachedAnswers(t *testing.T) {
 	s := Stop{}
 	require.Equal(t, Serving, s.Phase(start, 0))
-	s = Stop{StartedAt: start, Lifetime: 20 * time.Second, Spread: 2 * time.Second}
-	require.Equal(t, Unnamed, s.Phase(start.Add(21*time.Second), 0))
+	s = Stop{StartedAt: start, Lifetime: 20 * time.Second, PropagationDelay: 2 * time.Second}
+	require.Equal(t, Unadvertised, s.Phase(start.Add(21*time.Second), 0))
 	require.Equal(t, Closing, s.Phase(start.Add(22*time.Second), 1))
 	require.Equal(t, Stopped, s.Phase(start.Add(22*time.Second), 0))
 }
--- a/internal/address/doc.go
+++ b/internal/address/doc.go
@@ -1,4 +1,5 @@
-// Package address decides which entry VMs a caller is told to use and for how
-// long. It spreads a flash crowd that asks within seconds, and it stops naming
-// a VM before that VM stops taking callers. It does no I/O.
+// Package address selects the entry VMs that a caller should use, and how long the
+// caller may cache the selection. It distributes a flash crowd whose requests
+// arrive within seconds, and it stops returning a VM before that VM stops
+// accepting callers. It does no I/O.
 package address
--- a/internal/address/drain.go
+++ b/internal/address/drain.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// Phase is a step of a VM's planned stop.
+// Phase is a phase of a VM's planned shutdown.
 type Phase int
 
 // The phases, in order.
 const (
-	// Serving takes callers.
+	// Serving means that the VM accepts callers.
 	Serving Phase = iota
-	// Unnamed is no longer in any answer, and still takes the callers that keep
-	// an old one.
-	Unnamed
-	// Closing takes no new connection and closes the idle ones; every answer
-	// tells its caller to connect elsewhere.
+	// Unadvertised means that the VM is no longer in any answer, but still accepts
+	// the callers that have cached an older answer.
+	Unadvertised
+	// Closing means that the VM accepts no new connection and closes idle ones.
+	// Every answer instructs its caller to connect elsewhere.
 	Closing
-	// Stopped has nothing left to do.
+	// Stopped means that no request is in flight and the VM can exit.
 	Stopped
 )
 
-// Stop is the state of a planned stop.
+// Stop is the state of a planned shutdown.
 type Stop struct {
-	// StartedAt is when the stop began, or the zero time.
+	// StartedAt is when the shutdown began, or the zero time if it has not begun.
 	StartedAt time.Time
-	// Lifetime is the longest that a caller keeps an address answer.
+	// Lifetime is the maximum time for which a caller caches an address answer.
 	Lifetime time.Duration
-	// Spread is how long it takes until every VM has heard of the stop and names
-	// this one no more.
-	Spread time.Duration
+	// PropagationDelay is the time until every VM has received notice of the shutdown and
+	// no longer returns this VM in its answers.
+	PropagationDelay time.Duration
 }
 
-// Phase returns the phase at a time with a number of requests in flight. A VM
-// that closed its listener at once would cut off the callers that were told to
-// use it a moment ago.
+// Phase returns the phase at the time now, given the number of requests in flight.
+// A VM that closed its listener immediately would refuse the callers that have
+// just received its address.
 func (s Stop) Phase(now time.Time, inFlight int) Phase {
 	if s.StartedAt.IsZero() {
 		return Serving
 	}
-	if now.Before(s.StartedAt.Add(s.Spread + s.Lifetime)) {
-		return Unnamed
+	if now.Before(s.StartedAt.Add(s.PropagationDelay + s.Lifetime)) {
+		return Unadvertised
 	}
 	if inFlight > 0 {
 		return Closing
