--- a/internal/vmlist/client.go
+++ b/internal/vmlist/client.go
@@ -14,17 +14,19 @@
 	"github.com/chestnutarch/chestnutarch/internal/transport"
 )
 
-// ErrUnavailable means that the platform gave no list.
+// ErrUnavailable means that the list could not be read from the platform.
 var ErrUnavailable = errors.New("vmlist: list unavailable")
 
 const (
-	// callTimeout bounds how long the platform may be silent in one read.
+	// callTimeout bounds how long a read waits without receiving a byte, both for
+	// the answer to start and within it.
 	callTimeout = 2 * time.Second
-	// maxListBytes bounds a list: 12,000 upstreams at some hundred bytes each.
+	// maxListBytes bounds the size of a list: 12,000 upstreams at some hundred bytes
+	// each.
 	maxListBytes = 8 << 20
 )
 
-// Client reads the list. It is safe for concurrent use.
+// Client reads the list from the platform. It is safe for concurrent use.
 type Client struct {
 	// URL is the base address, "http://IP:port".
 	URL string
@@ -46,7 +48,7 @@
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
-		return nil, errors.Wrapf(ErrUnavailable, "status %d", answer.StatusCode)
+		return nil, errors.Wrapf(ErrUnavailable, "platform answered status %d, expected 200", answer.StatusCode)
 	}
 	list := &List{}
 	if err := json.NewDecoder(idle.Reader(io.LimitReader(answer.Body, maxListBytes))).Decode(list); err != nil {
@@ -55,7 +57,8 @@
 	return list, nil
 }
 
-// Poller keeps the newest list. One goroutine runs it; any may read.
+// Poller periodically reads the list and keeps the newest one. One goroutine calls Run;
+// any goroutine may call Leaving.
 type Poller struct {
 	client   *Client
 	interval time.Duration
@@ -63,23 +66,23 @@
 	leaving  atomic.Pointer[map[string]struct{}]
 }
 
-// NewPoller returns a poller that knows no VM yet.
+// NewPoller returns a poller with an empty list.
 func NewPoller(c *Client, interval time.Duration, log zerolog.Logger) *Poller {
 	p := &Poller{client: c, interval: interval, log: log}
 	p.leaving.Store(&map[string]struct{}{})
 	return p
 }
 
-// Leaving reports whether the list names an address, "IP:port", as leaving. An
-// address that the list does not name is not leaving: the list lags, and a new
+// Leaving reports whether the list contains an address, "IP:port", as leaving. An
+// address that is not listed does not count as leaving: the list lags, and a new
 // VM is missing from it.
 func (p *Poller) Leaving(address string) bool {
 	_, leaving := (*p.leaving.Load())[address]
 	return leaving
 }
 
-// Run reads the list until ctx ends, and returns nil then. While the platform
-// gives none, the last one stays in use.
+// Run reads the list at every interval until ctx ends, and then returns nil. While
+// the list is unavailable, the last one stays in use.
 func (p *Poller) Run(ctx context.Context) error {
 	ticker := time.NewTicker(p.interval)
 	defer ticker.Stop()
@@ -96,7 +99,7 @@
 func (p *Poller) read(ctx context.Context) {
 	list, err := p.client.Read(ctx)
 	if err != nil {
-		p.log.Debug().Err(err).Msg("VM list not read")
+		p.log.Debug().Err(err).Msg("reading the VM list failed; the last list stays in use")
 		return
 	}
 	leaving := make(map[string]struct{})
