--- a/internal/address/book.go
+++ b/internal/address/book.go
@@ -96,10 +96,10 @@
 }
 
 // answerCount counts the answers in which a VM was first, since the heartbeat at
-// heardAt.
+// lastHeartbeat.
 type answerCount struct {
-	heardAt time.Time
-	count   int64
+	lastHeartbeat time.Time
+	count         int64
 }
 
 // New returns a Book without VMs. Zero options are replaced by their defaults.
@@ -136,8 +136,8 @@
 			v.Capacity = defaultCapacity
 		}
 		n := b.counts[v.Name]
-		if v.HeardAt.After(n.heardAt) {
-			n = answerCount{heardAt: v.HeardAt}
+		if v.HeardAt.After(n.lastHeartbeat) {
+			n = answerCount{lastHeartbeat: v.HeardAt}
 		}
 		kept[v.Name] = n
 	}
