--- a/internal/clock/boot_linux.go
+++ b/internal/clock/boot_linux.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot returns a Func whose second clock is the time since the machine started,
-// which goes on while the machine is suspended and which nobody can set. Where it
-// cannot be read the wall clock takes its place.
+// Boot returns a Func whose Wall is the time since the machine started
+// (CLOCK_BOOTTIME), which advances while the machine is suspended and cannot be
+// set. If it cannot be read, the wall clock is used instead.
 func Boot() Func {
 	start := time.Now()
 	return func() Reading {
--- a/internal/clock/boot_other.go
+++ b/internal/clock/boot_other.go
@@ -2,6 +2,6 @@
 
 package clock
 
-// Boot returns the machine's clocks; there is no clock that goes on while the
-// machine is suspended and that nobody can set.
+// Boot returns System: on this platform no clock is available that advances
+// while the machine is suspended and cannot be set.
 func Boot() Func { return System() }
--- a/internal/process/command.go
+++ b/internal/process/command.go
@@ -13,34 +13,34 @@
 	"github.com/chestnutarch/chestnutarch/internal/telemetry"
 )
 
-// Identity is what a daemon says of itself in logs and traces.
+// Identity identifies a daemon in its logs and traces, and configures both.
 type Identity struct {
 	// VM is the VM's ID.
 	VM string
-	// Log says what is logged.
+	// Log configures the log.
 	Log telemetry.LogSettings
-	// Traces says where spans go.
+	// Traces configures the export of spans.
 	Traces telemetry.TraceSettings
 }
 
-// Daemon is a program that reads settings of type S and runs until it is told
-// to stop.
+// Daemon is a program that reads settings of type S and runs until SIGTERM or
+// SIGINT.
 type Daemon[S any] struct {
 	// Name is the program's name.
 	Name string
-	// Short says in one line what it does.
+	// Short is a one-line description for the help text.
 	Short string
-	// Read reads and checks the settings.
+	// Read reads and validates the settings.
 	Read func(file string) (S, error)
-	// Identity picks out what all daemons have.
+	// Identity returns the part of the settings that all daemons have.
 	Identity func(settings S) Identity
 	// Run runs the daemon until ctx ends, then stops it gracefully.
 	Run func(ctx context.Context, settings S, log zerolog.Logger) error
 }
 
-// Main runs the command line and ends the process: with status 0 after a
-// graceful stop or a check that found nothing, with 1 after any error, which is
-// printed to standard error.
+// Main runs the command line. It returns after a graceful stop or a check that
+// found no error, for exit status 0. After any error it prints the error to
+// standard error and exits with status 1.
 func (d Daemon[S]) Main() {
 	if err := d.command().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -71,7 +71,7 @@
 	return c
 }
 
-// run stops gracefully at the first SIGTERM or SIGINT; a second one ends the
+// run stops gracefully on the first SIGTERM or SIGINT; a second one ends the
 // process at once.
 func (d Daemon[S]) run(ctx context.Context, s S) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
--- a/internal/process/doc.go
+++ b/internal/process/doc.go
@@ -1,4 +1,3 @@
-// Package process holds what the daemons have in common: the command line, the
-// reaction to signals, certificates from settings and the clients made with
-// them.
+// Package process implements what the daemons have in common: the command line,
+// signal handling, certificates from the settings and the clients that use them.
 package process
--- a/internal/process/security.go
+++ b/internal/process/security.go
@@ -11,24 +11,27 @@
 	"github.com/chestnutarch/chestnutarch/internal/transport"
 )
 
-// Security is the certificates of a process. A nil reloader means plain text.
+// Security holds the certificates of a process. A nil reloader means plain text.
 type Security struct {
-	// Callers and Operators are what is served there.
+	// Callers and Operators are for the listeners for callers and operators.
 	Callers, Operators *credentials.Reloader
-	// Upstreams and KV are for connections to them.
+	// Upstreams and KV are for connections to upstreams and to the key-value
+	// service.
 	Upstreams, KV *credentials.Reloader
-	// Peers is for both sides of connections between own processes.
+	// Peers is for both sides of connections between the processes of the
+	// system.
 	Peers peer.Security
-	// PeerFiles is what Peers was made from, nil for plain text.
+	// PeerFiles reloads the certificates that Peers uses; nil for plain text.
 	PeerFiles *credentials.Reloader
 }
 
-// NewSecurity reads the files. It returns what credentials.New returns.
+// NewSecurity loads the certificates that the settings name. Its errors are those
+// of credentials.New.
 func NewSecurity(t settings.TLS) (*Security, error) {
 	s := &Security{}
 	for _, wanted := range []struct {
-		files settings.Certificate
-		into  **credentials.Reloader
+		files  settings.Certificate
+		target **credentials.Reloader
 	}{
 		{t.Callers, &s.Callers}, {t.Operators, &s.Operators},
 		{t.Upstreams, &s.Upstreams}, {t.KV, &s.KV}, {t.Peers, &s.PeerFiles},
@@ -37,9 +40,10 @@
 		if err != nil {
 			return nil, err
 		}
-		*wanted.into = loaded
+		*wanted.target = loaded
 	}
-	// The settings were refused unless plain text is on loopback or allowed.
+	// Settings with plain text are refused earlier unless it is on loopback or
+	// explicitly allowed.
 	s.Peers = peer.Security{AllowPlainText: true}
 	if s.PeerFiles != nil {
 		s.Peers = peer.Security{Credentials: s.PeerFiles.GRPC()}
@@ -47,7 +51,7 @@
 	return s, nil
 }
 
-// reloader returns nil if no file is named.
+// reloader returns nil if the settings name no file.
 func reloader(c settings.Certificate) (*credentials.Reloader, error) {
 	if c == (settings.Certificate{}) {
 		return nil, nil
@@ -71,8 +75,8 @@
 	return r.Server(credentials.ServerOptions{NextProtos: []string{"http/1.1"}})
 }
 
-// NewStore returns the client of the key-value service. It returns what
-// kv.NewHTTP returns. The options' URLs, client and timeout are set here.
+// NewStore returns a client of the key-value service. It sets the URLs, the HTTP
+// client and the call timeout of the options. Its errors are those of kv.NewHTTP.
 func (s *Security) NewStore(k settings.KV, o kv.Options) (*kv.HTTP, error) {
 	o.URLs = k.URLs
 	o.CallTimeout = k.Timeout
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -11,66 +11,66 @@
 )
 
 const (
-	// routineLines and reservedLines are how many lines wait for the writer at most:
-	// those of debug and info level, and those from warn level on. Together they take
-	// under 2 MB at 500 bytes a line.
-	routineLines  = 2048
-	reservedLines = 1024
-	// routinePerSecond is the rate of routine lines that is kept up. Beyond it they
-	// are dropped and counted: at ten times the usual load of a VM of some 30 requests
-	// a second, with two lines for each, nothing is dropped.
-	routinePerSecond = 800
-	// writeEvery is the time between two writes, batchBytes the size from which one is
-	// not left to grow.
-	writeEvery = 100 * time.Millisecond
-	batchBytes = 64 << 10
-	// reportEvery is how often dropped lines are reported.
-	reportEvery = 5 * time.Second
+	// routineQueueLines and reservedQueueLines are the capacities of the queues of lines
+	// that wait to be written: lines of debug or info level or without a level, and lines
+	// of warn level and above. Together they take under 2 MB at 500 bytes a line.
+	routineQueueLines  = 2048
+	reservedQueueLines = 1024
+	// routineLinesPerSecond limits the rate of routine lines; those beyond it are dropped
+	// and counted. At ten times the usual load of a VM, which is some 30 requests a
+	// second with two lines each, nothing is dropped.
+	routineLinesPerSecond = 800
+	// flushInterval is the time between two flushes. A batch that grows beyond
+	// flushThresholdBytes is written at once.
+	flushInterval       = 100 * time.Millisecond
+	flushThresholdBytes = 64 << 10
+	// dropReportInterval is the interval at which dropped lines are reported.
+	dropReportInterval = 5 * time.Second
 )
 
-// Bounded passes log lines to a writer from a goroutine of its own. A reader of the
-// log that stops reading would otherwise block every request that writes a line,
-// which callers would see as a VM that hangs. What cannot wait is dropped and counted.
-// Lines from warn level on have room of their own, so that the successes of a busy
-// second cannot push out a failure.
-type Bounded struct {
+// BoundedWriter writes log lines asynchronously through bounded queues. With direct
+// writes, a log reader that stops reading would block every request that logs a line,
+// and callers would see a VM that hangs. Lines that do not fit into their queue are
+// dropped and counted. Lines of warn level and above have a separate queue, so that the
+// successes of a busy second cannot displace a failure.
+type BoundedWriter struct {
 	out               io.Writer
 	routine, reserved chan []byte
-	credit            atomic.Int64
-	// batch belongs to Run.
+	routineBudget     atomic.Int64
+	// batch is used only by the goroutine of Run.
 	batch bytes.Buffer
 
 	droppedRoutine, droppedReserved atomic.Int64
 }
 
-// NewBounded returns a writer that passes nothing on until Run is called.
-func NewBounded(out io.Writer) *Bounded {
-	b := &Bounded{out: out, routine: make(chan []byte, routineLines), reserved: make(chan []byte, reservedLines)}
-	b.credit.Store(routinePerSecond)
+// NewBounded returns a writer that queues lines and writes nothing until Run is called.
+func NewBounded(out io.Writer) *BoundedWriter {
+	b := &BoundedWriter{out: out, routine: make(chan []byte, routineQueueLines), reserved: make(chan []byte, reservedQueueLines)}
+	b.routineBudget.Store(routineLinesPerSecond)
 	return b
 }
 
 // Write implements io.Writer for lines without a level.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *BoundedWriter) Write(line []byte) (int, error) {
 	return b.WriteLevel(zerolog.NoLevel, line)
 }
 
 // WriteLevel implements zerolog.LevelWriter. It never blocks and never fails.
-func (b *Bounded) WriteLevel(level zerolog.Level, line []byte) (int, error) {
+func (b *BoundedWriter) WriteLevel(level zerolog.Level, line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	if level >= zerolog.WarnLevel && level <= zerolog.PanicLevel {
-		offer(b.reserved, copied, &b.droppedReserved)
+		enqueue(b.reserved, copied, &b.droppedReserved)
 		return len(line), nil
 	}
-	if b.credit.Add(-1) < 0 {
+	if b.routineBudget.Add(-1) < 0 {
 		b.droppedRoutine.Add(1)
 		return len(line), nil
 	}
-	offer(b.routine, copied, &b.droppedRoutine)
+	enqueue(b.routine, copied, &b.droppedRoutine)
 	return len(line), nil
 }
 
-func offer(to chan []byte, line []byte, dropped *atomic.Int64) {
+func enqueue(to chan []byte, line []byte, dropped *atomic.Int64) {
 	select {
 	case to <- line:
 	default:
@@ -78,30 +78,30 @@
 	}
 }
 
-// Dropped returns how many lines were dropped: routine ones and those from warn level
-// on.
-func (b *Bounded) Dropped() (routine, reserved int64) {
+// Dropped returns the numbers of dropped lines: routine ones, and those of warn level and
+// above.
+func (b *BoundedWriter) Dropped() (routine, reserved int64) {
 	return b.droppedRoutine.Load(), b.droppedReserved.Load()
 }
 
-// Run writes until ctx ends, and then what still waits. Lines are written a few times
-// a second, many at once: a write and a wake-up of its own for each line would cost more
-// than making the line. A process that is killed loses what came since the last write.
-func (b *Bounded) Run(ctx context.Context) {
-	write := time.NewTicker(writeEvery)
-	defer write.Stop()
-	second := time.NewTicker(time.Second)
-	defer second.Stop()
-	report := time.NewTicker(reportEvery)
-	defer report.Stop()
+// Run writes queued lines until ctx ends, and then the remaining ones. It writes lines in
+// batches several times a second: a write and a wake-up for each line would cost more than
+// formatting the line. A process that is killed loses the lines since the last flush.
+func (b *BoundedWriter) Run(ctx context.Context) {
+	flushTicker := time.NewTicker(flushInterval)
+	defer flushTicker.Stop()
+	budgetTicker := time.NewTicker(time.Second)
+	defer budgetTicker.Stop()
+	reportTicker := time.NewTicker(dropReportInterval)
+	defer reportTicker.Stop()
 	var reported int64
 	for {
 		select {
-		case <-write.C:
+		case <-flushTicker.C:
 			b.flush()
-		case <-second.C:
-			b.credit.Store(routinePerSecond)
-		case <-report.C:
+		case <-budgetTicker.C:
+			b.routineBudget.Store(routineLinesPerSecond)
+		case <-reportTicker.C:
 			reported = b.reportDrops(reported)
 		case <-ctx.Done():
 			b.flush()
@@ -110,8 +110,9 @@
 	}
 }
 
-// reportDrops writes a line if lines were dropped since the last one.
-func (b *Bounded) reportDrops(reported int64) int64 {
+// reportDrops logs the totals if lines were dropped since the last report, and returns
+// the total of dropped lines that has been reported.
+func (b *BoundedWriter) reportDrops(reported int64) int64 {
 	routine, reserved := b.Dropped()
 	if routine+reserved == reported {
 		return reported
@@ -121,8 +122,8 @@
 	return routine + reserved
 }
 
-// flush writes what waits.
-func (b *Bounded) flush() {
+// flush writes all queued lines.
+func (b *BoundedWriter) flush() {
 	b.batch.Reset()
 	for {
 		select {
@@ -131,17 +132,18 @@
 		case line := <-b.routine:
 			b.batch.Write(line)
 		default:
-			b.pass()
+			b.writeBatch()
 			return
 		}
-		if b.batch.Len() > batchBytes {
-			b.pass()
+		if b.batch.Len() > flushThresholdBytes {
+			b.writeBatch()
 		}
 	}
 }
 
-// pass writes the batch. A log that cannot be written has nowhere to say so.
-func (b *Bounded) pass() {
+// writeBatch writes the batch. A write error is ignored, as there is no other place to
+// log it.
+func (b *BoundedWriter) writeBatch() {
 	if b.batch.Len() > 0 {
 		_, _ = b.out.Write(b.batch.Bytes())
 		b.batch.Reset()
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -13,10 +13,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The program that collects a process's log stops reading, and the pipe between them
-// is full. Requests go on, and after a while no line can wait any more; each one that
-// is dropped is counted.
-func TestFullPipeCostsTheRequestPathNothing(t *testing.T) {
+// The program that collects a process's log stops reading, and the pipe between them is
+// full. Logging must not block the request path; once the queues are full, each dropped
+// line is counted.
+func TestFullPipeDoesNotBlockLogging(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	require.NoError(t, err)
 	b := NewBounded(writer)
@@ -25,7 +25,7 @@
 	wg.Go(func() { b.Run(ctx) })
 	log := zerolog.New(b)
 	filler := strings.Repeat("x", 2000)
-	for range 4 * routineLines {
+	for range 4 * routineQueueLines {
 		log.Info().Str("filler", filler).Send()
 		log.Warn().Str("filler", filler).Send()
 	}
@@ -37,13 +37,13 @@
 	wg.Wait()
 }
 
-// A second with ten times the usual requests writes more lines of successes than the
-// log keeps up with. The one failure among them has to be in the log all the same.
-func TestSuccessesDoNotPushOutAFailure(t *testing.T) {
+// Successes in one second write ten times as many lines as the rate limit of routine lines
+// admits. The one failure among them must still be in the log.
+func TestRoutineLinesDoNotDisplaceWarnings(t *testing.T) {
 	var out bytes.Buffer
 	b := NewBounded(&out)
 	log := zerolog.New(b)
-	for range 10 * routinePerSecond {
+	for range 10 * routineLinesPerSecond {
 		log.Info().Str("outcome", "answered").Send()
 	}
 	log.Warn().Str("outcome", "cut").Send()
@@ -51,9 +51,9 @@
 	cancel()
 	b.Run(ctx)
 	require.Contains(t, out.String(), "cut")
-	require.LessOrEqual(t, strings.Count(out.String(), "answered"), routinePerSecond)
+	require.LessOrEqual(t, strings.Count(out.String(), "answered"), routineLinesPerSecond)
 	routine, reserved := b.Dropped()
-	require.Equal(t, int64(9*routinePerSecond), routine)
+	require.Equal(t, int64(9*routineLinesPerSecond), routine)
 	require.Zero(t, reserved)
 }
 
@@ -62,7 +62,7 @@
 	log := zerolog.New(w)
 	b.ReportAllocs()
 	for b.Loop() {
-		w.credit.Store(routinePerSecond)
+		w.routineBudget.Store(routineLinesPerSecond)
 		log.Info().Str("event", "request_ended").Str("request", "9c41d07be2a35f68").Dur("took_ms", time.Second).Send()
 	}
 }
--- a/internal/telemetry/doc.go
+++ b/internal/telemetry/doc.go
@@ -1,3 +1,3 @@
-// Package telemetry sets up what a process tells of itself: structured logs,
-// metrics over HTTP and traces.
+// Package telemetry sets up the telemetry of a process: structured logs, metrics
+// over HTTP and traces.
 package telemetry
--- a/internal/telemetry/exposition.go
+++ b/internal/telemetry/exposition.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// quantiles are the percentiles that a histogram is exposed with.
+// quantiles are the quantiles of each exposed summary.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
 // TextHandler serves every metric of r in the Prometheus text format. A name such as
@@ -21,18 +21,18 @@
 		format := expfmt.NewFormat(expfmt.TypeTextPlain)
 		w.Header().Set("Content-Type", string(format))
 		encoder := expfmt.NewEncoder(w, format)
-		var failed error
+		var encodeErr error
 		r.Each(func(name string, metric any) {
-			family := familyOf(name, metric)
-			if family == nil || failed != nil {
+			family := metricFamily(name, metric)
+			if family == nil || encodeErr != nil {
 				return
 			}
-			failed = errors.WithStack(encoder.Encode(family))
+			encodeErr = errors.WithStack(encoder.Encode(family))
 		})
 	})
 }
 
-func familyOf(name string, metric any) *dto.MetricFamily {
+func metricFamily(name string, metric any) *dto.MetricFamily {
 	out := &dto.MetricFamily{Name: proto.String("chestnut_" + strings.NewReplacer(".", "_", "-", "_").Replace(name))}
 	switch m := metric.(type) {
 	case metrics.Counter:
@@ -46,29 +46,29 @@
 		out.Metric = []*dto.Metric{{Gauge: &dto.Gauge{Value: proto.Float64(m.Value())}}}
 	case metrics.Timer:
 		out.Type = dto.MetricType_SUMMARY.Enum()
-		out.Metric = []*dto.Metric{{Summary: summaryOf(m.Snapshot(), nanoseconds)}}
+		out.Metric = []*dto.Metric{{Summary: newSummary(m.Snapshot(), nanosecondsPerSecond)}}
 	case metrics.Histogram:
 		out.Type = dto.MetricType_SUMMARY.Enum()
-		out.Metric = []*dto.Metric{{Summary: summaryOf(m.Snapshot(), 1)}}
+		out.Metric = []*dto.Metric{{Summary: newSummary(m.Snapshot(), 1)}}
 	default:
 		return nil
 	}
 	return out
 }
 
-// nanoseconds is how many of them a second has: timers count in nanoseconds, and are
-// exposed in seconds.
-const nanoseconds = 1e9
+// nanosecondsPerSecond converts timers, which count in nanoseconds and are exposed in
+// seconds.
+const nanosecondsPerSecond = 1e9
 
-// sample is what timers and histograms have in common.
-type sample interface {
+// distribution is the common part of the snapshots of timers and histograms.
+type distribution interface {
 	Count() int64
 	Sum() int64
 	Percentiles([]float64) []float64
 }
 
-// summaryOf gives a sample in a larger unit.
-func summaryOf(s sample, unit float64) *dto.Summary {
+// newSummary converts a distribution into a summary, with values divided by unit.
+func newSummary(s distribution, unit float64) *dto.Summary {
 	out := &dto.Summary{SampleCount: proto.Uint64(uint64(s.Count())), SampleSum: proto.Float64(float64(s.Sum()) / unit)}
 	for i, v := range s.Percentiles(quantiles) {
 		out.Quantile = append(out.Quantile, &dto.Quantile{Quantile: proto.Float64(quantiles[i]), Value: proto.Float64(v / unit)})
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -9,9 +9,9 @@
 )
 
 var (
-	// ErrLogLevel means that the log level has no meaning.
+	// ErrLogLevel means that the log level is unknown.
 	ErrLogLevel = errors.New("telemetry: unknown log level")
-	// ErrLogFormat means that the log format has no meaning.
+	// ErrLogFormat means that the log format is unknown.
 	ErrLogFormat = errors.New("telemetry: unknown log format")
 )
 
@@ -21,7 +21,7 @@
 	FormatConsole = "console"
 )
 
-// LogSettings says what is logged and how.
+// LogSettings configures the level and format of the log.
 type LogSettings struct {
 	// Level is "debug", "info", "warn" or "error". The default is "info".
 	Level string `yaml:"level"`
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// timeFormat gives the wall clock in milliseconds: what VMs sent to one upstream within a
-// second has to be put in order.
+// timeFormat has milliseconds, so that the requests that several VMs sent to one upstream
+// within a second can be put in order.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 func init() { zerolog.TimeFieldFormat = timeFormat }
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -6,8 +6,8 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// The sample that a timer keeps: about the last five minutes, weighted towards
-// the newest.
+// Parameters of the exponentially decaying sample of timers and histograms: it
+// covers about the last five minutes, weighted towards the newest values.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
@@ -19,7 +19,8 @@
 	return r.GetOrRegister(name, timer).(metrics.Timer)
 }
 
-// NewHistogram registers a histogram of plain numbers under name and returns it.
+// NewHistogram registers a histogram of numbers without a unit under name and
+// returns it.
 func NewHistogram(r metrics.Registry, name string) metrics.Histogram {
 	histogram := metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, sampleAlpha))
 	return r.GetOrRegister(name, histogram).(metrics.Histogram)
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -12,7 +12,7 @@
 	"go.opentelemetry.io/otel"
 )
 
-func TestLoggerWritesStructuredEventsFromItsLevelOn(t *testing.T) {
+func TestLoggerWritesJSONEventsAtOrAboveItsLevel(t *testing.T) {
 	s := LogSettings{Level: "warn"}
 	s.Provision()
 	require.NoError(t, s.Validate())
@@ -26,7 +26,7 @@
 	require.Equal(t, "a", event["vm"])
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	require.ErrorIs(t, (&LogSettings{Level: "loud", Format: FormatJSON}).Validate(), ErrLogLevel)
 	require.ErrorIs(t, (&LogSettings{Level: "info", Format: "xml"}).Validate(), ErrLogFormat)
 	for _, c := range []struct {
@@ -43,9 +43,9 @@
 	require.ErrorIs(t, (&TraceSettings{Exporter: ExporterNone, SampledShare: &share}).Validate(), ErrTraceShare)
 }
 
-// An operator turns traces on to find a slow hop. Spans that are still waiting
-// in the exporter when the process stops would be missing.
-func TestTracesAreSentAtTheStop(t *testing.T) {
+// An operator enables traces to find a slow hop. Spans that are still queued in
+// the exporter when the process stops must not be lost.
+func TestTracesAreFlushedAtShutdown(t *testing.T) {
 	before := otel.GetTracerProvider()
 	defer otel.SetTracerProvider(before)
 	s := TraceSettings{Exporter: ExporterStdout}
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -16,9 +16,9 @@
 )
 
 var (
-	// ErrTraceExporter means that the exporter has no meaning.
+	// ErrTraceExporter means that the exporter is unknown.
 	ErrTraceExporter = errors.New("telemetry: unknown trace exporter")
-	// ErrTraceEndpoint means that the OTLP endpoint is not a URL.
+	// ErrTraceEndpoint means that the OTLP endpoint is not an http or https URL.
 	ErrTraceEndpoint = errors.New("telemetry: trace endpoint is not an http or https URL")
 	// ErrTraceShare means that the sampled share is not between 0 and 1.
 	ErrTraceShare = errors.New("telemetry: sampled share is not between 0 and 1")
@@ -31,14 +31,14 @@
 	ExporterOTLP   = "otlp"
 )
 
-// TraceSettings says where spans go.
+// TraceSettings configures the export and sampling of spans.
 type TraceSettings struct {
 	// Exporter is "none", "stdout" or "otlp". The default is "none".
 	Exporter string `yaml:"exporter"`
 	// Endpoint is the URL that OTLP over HTTP is sent to, with "otlp".
 	Endpoint string `yaml:"endpoint"`
-	// SampledShare is the share of new traces that are kept, from 0 to 1. A
-	// caller's own sampling decision goes first. The default is 1.
+	// SampledShare is the share of new traces that are sampled, from 0 to 1. A
+	// caller's own sampling decision takes precedence. The default is 1.
 	SampledShare *float64 `yaml:"sampled_share"`
 }
 
@@ -72,7 +72,7 @@
 }
 
 // StartTracing installs the process's tracer provider and W3C propagation. The
-// returned function sends what is left and stops the exporter.
+// returned function exports the remaining spans and stops the exporter.
 func StartTracing(ctx context.Context, s TraceSettings, process, vm string, stdout io.Writer) (func(context.Context) error, error) {
 	otel.SetTextMapPropagator(propagation.NewCompositeTextMapPropagator(propagation.TraceContext{}, propagation.Baggage{}))
 	if s.Exporter == ExporterNone {
