--- a/internal/layering/doc.go
+++ b/internal/layering/doc.go
@@ -1,3 +1,3 @@
-// Package layering holds the test that decision packages import nothing that
-// does I/O, so that they can be stepped by any harness.
+// Package layering contains tests of the import rules, first of all that decision
+// packages import nothing that does I/O, so that any test harness can step them.
 package layering
--- a/internal/oracle/oracle.go
+++ b/internal/oracle/oracle.go
@@ -1,5 +1,5 @@
-// Package oracle helps tests to show that their oracles find faults: a walk that
-// must pass as it is has to fail once a fault is planted.
+// Package oracle helps tests to show that their oracles find faults: a random walk
+// that passes on the unmodified code must fail once a fault is injected.
 package oracle
 
 import (
@@ -10,45 +10,46 @@
 // NotFound means that no seed led to a failure.
 const NotFound = -1
 
-// Walk drives a state machine with draws from t and reports broken rules to
-// oracle.
+// Walk drives a state machine with random values drawn from t and reports rule
+// violations to oracle.
 type Walk func(t *rapid.T, oracle require.TestingT)
 
-// FirstSeed returns the first seed from 0 to seeds-1 under which a walk breaks
-// a rule, or NotFound. Equal walks give equal seeds.
+// FirstSeed returns the first seed from 0 to seeds-1 with which the walk violates
+// a rule, or NotFound. The result is deterministic.
 func FirstSeed(seeds int, walk Walk) int {
 	for seed := range seeds {
-		if fails(seed, walk) {
+		if walkFails(seed, walk) {
 			return seed
 		}
 	}
 	return NotFound
 }
 
-// failure is the value that a recorder panics with.
-type failure struct{}
+// ruleViolation is the value that a panickingT panics with.
+type ruleViolation struct{}
 
-// recorder takes a broken rule without failing the test that runs.
-type recorder struct{}
+// panickingT is a require.TestingT that ends the walk at a rule violation without
+// failing the running test.
+type panickingT struct{}
 
-// Errorf does nothing: FailNow follows.
-func (recorder) Errorf(string, ...any) {}
+// Errorf does nothing: require calls FailNow after it.
+func (panickingT) Errorf(string, ...any) {}
 
 // FailNow ends the walk.
-func (recorder) FailNow() { panic(failure{}) }
+func (panickingT) FailNow() { panic(ruleViolation{}) }
 
-func fails(seed int, walk Walk) bool {
+func walkFails(seed int, walk Walk) bool {
 	failed := false
 	generator := rapid.Custom(func(t *rapid.T) bool {
 		defer func() {
 			r := recover()
-			if _, ok := r.(failure); ok {
+			if _, ok := r.(ruleViolation); ok {
 				failed = true
 			} else if r != nil {
 				panic(r)
 			}
 		}()
-		walk(t, recorder{})
+		walk(t, panickingT{})
 		return true
 	})
 	generator.Example(seed)
--- a/internal/portblock/doc.go
+++ b/internal/portblock/doc.go
@@ -1,7 +1,7 @@
-// Package portblock gives out TCP ports on loopback for processes that tests start.
+// Package portblock allocates TCP ports on loopback for processes that tests start.
 //
 // A port that is free when it is chosen may be taken before its process listens there, or while
-// that process is stopped for a while: by outgoing connections, which the system gives ports
-// from its own range, and by other test processes. So the ports lie below that range, and each
-// test process claims blocks of them by listening on the first port of each.
+// that process is stopped temporarily: by outgoing connections, to which the system assigns ports
+// of its ephemeral range, and by other test processes. The ports therefore lie below the ephemeral
+// range, and each test process claims whole blocks of them by listening on the first port of each.
 package portblock
--- a/internal/portblock/portblock.go
+++ b/internal/portblock/portblock.go
@@ -13,35 +13,35 @@
 var ErrNoBlock = errors.New("portblock: all blocks of ports are claimed")
 
 const (
-	// lowest is the first port of the first block, size the number of ports of a block, its
-	// guard included, and blocks their number.
-	lowest = 12_000
-	size   = 500
-	blocks = 36
+	// firstPort is the first port of the first block, portsPerBlock the number of ports in a
+	// block, including its guard, and blockCount the number of blocks.
+	firstPort     = 12_000
+	portsPerBlock = 500
+	blockCount    = 36
 )
 
-// Ports gives out ports. The zero value is ready for use, and safe for concurrent use.
+// Ports allocates ports. The zero value is ready for use, and safe for concurrent use.
 type Ports struct {
 	mu sync.Mutex
-	// first is the first port of the block in use, next the one to give out.
-	first, next int
-	// guards are kept for as long as the process lives.
+	// blockStart is the first port of the current block, nextPort the next port to try.
+	blockStart, nextPort int
+	// guards listen on the first ports of the claimed blocks until the process ends.
 	guards []net.Listener
 }
 
-// Next returns a port that nobody listens on and that no other test process gives out. It is
-// given out once. It returns ErrNoBlock.
+// Next returns a port that no process listens on and that no other test process allocates. Each
+// port is returned at most once. Next returns ErrNoBlock, wrapped, if no block can be claimed.
 func (p *Ports) Next() (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for {
-		if p.first == 0 || p.next >= p.first+size {
-			if err := p.claim(); err != nil {
+		if p.blockStart == 0 || p.nextPort >= p.blockStart+portsPerBlock {
+			if err := p.claimBlock(); err != nil {
 				return 0, err
 			}
 		}
-		port := p.next
-		p.next++
+		port := p.nextPort
+		p.nextPort++
 		l, err := listen(port)
 		if err != nil {
 			continue
@@ -51,16 +51,17 @@
 	}
 }
 
-// claim takes a block that nobody guards. Processes begin to look at different ones.
-func (p *Ports) claim() error {
-	for i := range blocks {
-		first := lowest + (os.Getpid()+i)%blocks*size
+// claimBlock claims a block that no process guards. The search starts at a block that depends on
+// the process ID, so that processes start at different blocks.
+func (p *Ports) claimBlock() error {
+	for i := range blockCount {
+		first := firstPort + (os.Getpid()+i)%blockCount*portsPerBlock
 		guard, err := listen(first)
 		if err != nil {
 			continue
 		}
 		p.guards = append(p.guards, guard)
-		p.first, p.next = first, first+1
+		p.blockStart, p.nextPort = first, first+1
 		return nil
 	}
 	return errors.WithStack(ErrNoBlock)
