--- a/cmd/chestnut-entry/main.go
+++ b/cmd/chestnut-entry/main.go
@@ -1,4 +1,4 @@
-// Command chestnut-entry carries callers' requests on an entry VM.
+// Command chestnut-entry serves callers' requests on an entry VM.
 package main
 
 import (
@@ -14,7 +14,7 @@
 func main() {
 	process.Daemon[*settings.Entry]{
 		Name:  "chestnut-entry",
-		Short: "Carry callers' requests on an entry VM",
+		Short: "Serve callers' requests on an entry VM",
 		Read:  settings.ReadEntry,
 		Identity: func(s *settings.Entry) process.Identity {
 			return process.Identity{VM: s.VM, Log: s.Log, Traces: s.Traces}
--- a/cmd/chestnut-planner/main.go
+++ b/cmd/chestnut-planner/main.go
@@ -1,5 +1,5 @@
 // Command chestnut-planner keeps every model and adapter resident on the model
-// engines. It runs on every entry VM; one of them leads.
+// engines. It runs on every entry VM; one instance is the leader.
 package main
 
 import (
