--- a/cmd/chestnut-standin/main.go
+++ b/cmd/chestnut-standin/main.go
@@ -1,5 +1,6 @@
 // Command chestnut-standin serves stand-ins for the platform and the upstreams:
-// key-value service, model engines, plain services, VM list and weight store.
+// the key-value service, model engines, plain services, the VM list and the
+// weight store.
 package main
 
 import (
@@ -21,7 +22,7 @@
 	defer stop()
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
 	if err := command(log).ExecuteContext(ctx); err != nil {
-		log.Error().Err(err).Msg("stand-ins ended")
+		log.Error().Err(err).Msg("could not check or serve the stand-ins")
 		return 1
 	}
 	return 0
@@ -32,7 +33,7 @@
 	var check bool
 	c := &cobra.Command{
 		Use:           "chestnut-standin",
-		Short:         "Serve stand-ins for the systems that chestnutarch meets",
+		Short:         "Serve stand-ins for the systems that chestnutarch depends on",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -45,7 +46,7 @@
 		},
 	}
 	c.Flags().StringVar(&file, "config", "", "YAML file that lists the stand-ins")
-	c.Flags().BoolVar(&check, "check", false, "only check the file")
+	c.Flags().BoolVar(&check, "check", false, "check the configuration file and exit")
 	_ = c.MarkFlagRequired("config")
 	return c
 }
--- a/internal/standin/config.go
+++ b/internal/standin/config.go
@@ -23,8 +23,8 @@
 
 // Config lists the stand-ins that one process serves.
 type Config struct {
-	// SharedAdapters makes the engines of the file count the requests in
-	// flight of an adapter together. The default is each engine on its own.
+	// SharedAdapters makes all engines of the file share one count of in-flight
+	// requests per adapter. By default each engine keeps its own count.
 	SharedAdapters bool `yaml:"shared_adapters"`
 	// Standins lists the stand-ins.
 	Standins []Entry `yaml:"standins"`
@@ -32,13 +32,14 @@
 
 // Entry is one stand-in. Only the parameters of its kind may be given.
 type Entry struct {
-	// Kind says what it stands for.
+	// Kind is the kind of system that the stand-in replaces.
 	Kind Kind `yaml:"kind"`
 	// Name is unique in the file.
 	Name string `yaml:"name"`
 	// Listen is "IP:port".
 	Listen string `yaml:"listen"`
-	// KV, Engine, Service, VMList and WeightStore are the parameters.
+	// KV, Engine, Service, VMList and WeightStore are the parameters of the
+	// kind of the same name.
 	KV          KVOptions          `yaml:"kv"`
 	Engine      EngineOptions      `yaml:"engine"`
 	Service     ServiceOptions     `yaml:"service"`
@@ -46,7 +47,7 @@
 	WeightStore WeightStoreOptions `yaml:"weight_store"`
 }
 
-// ReadConfig reads a configuration file. A mistake in it is a
+// ReadConfig reads a configuration file. An invalid setting is reported as a
 // *strictyaml.FieldError that names the file, the line and the setting.
 func ReadConfig(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
@@ -56,7 +57,7 @@
 	return ParseConfig(path, data)
 }
 
-// ParseConfig reads a configuration; file is its name in errors.
+// ParseConfig parses a configuration; file is its name in errors.
 func ParseConfig(file string, data []byte) (*Config, error) {
 	var c Config
 	source, err := strictyaml.Decode(data, file, &c)
@@ -66,18 +67,18 @@
 	names := make(map[string]struct{})
 	for i, e := range c.Standins {
 		path := fmt.Sprintf("standins[%d]", i)
-		if _, twice := names[e.Name]; twice {
+		if _, duplicate := names[e.Name]; duplicate {
 			return nil, source.At(path+".name", ErrDuplicateName)
 		}
 		names[e.Name] = struct{}{}
-		if !e.Kind.known() {
+		if !e.Kind.valid() {
 			return nil, source.At(path+".kind", ErrUnknownKind)
 		}
 	}
 	return &c, nil
 }
 
-func (k Kind) known() bool {
+func (k Kind) valid() bool {
 	switch k {
 	case KindKV, KindEngine, KindService, KindVMList, KindWeightStore:
 		return true
@@ -85,13 +86,13 @@
 	return false
 }
 
-// Group is a set of served stand-ins.
+// Group is a set of running stand-ins.
 type Group struct {
 	servers map[string]*Server
 }
 
-// StartAll serves every stand-in of a configuration. If one cannot be served,
-// those before it are closed.
+// StartAll starts every stand-in of a configuration. If one cannot be started,
+// those started before it are closed and the error names it.
 func StartAll(c *Config) (*Group, error) {
 	g := &Group{servers: make(map[string]*Server, len(c.Standins))}
 	meter := NewAdapterMeter()
@@ -114,10 +115,10 @@
 	case KindKV:
 		return NewKV(e.KV)
 	case KindEngine:
-		orDefault(&e.Engine.Name, e.Name)
+		setDefault(&e.Engine.Name, e.Name)
 		return NewEngine(e.Engine)
 	case KindService:
-		orDefault(&e.Service.Name, e.Name)
+		setDefault(&e.Service.Name, e.Name)
 		return NewService(e.Service)
 	case KindVMList:
 		return NewVMList(e.VMList)
@@ -126,10 +127,10 @@
 	}
 }
 
-// Server returns a served stand-in by its name, or nil.
+// Server returns the server of the named stand-in, or nil if there is none.
 func (g *Group) Server(name string) *Server { return g.servers[name] }
 
-// Close ends every stand-in.
+// Close stops every stand-in.
 func (g *Group) Close() {
 	for _, s := range g.servers {
 		s.Close()
--- a/internal/standin/conn.go
+++ b/internal/standin/conn.go
@@ -9,14 +9,14 @@
 	"sync/atomic"
 )
 
-// conn is a connection that can fall silent: it stays open, takes what the
-// peer sends and throws it away, and sends nothing, not even its end.
+// conn is a connection that can be made silent. A silent connection stays open,
+// discards what the peer sends and sends nothing, not even a FIN.
 type conn struct {
 	net.Conn
 	silent  atomic.Bool
 	control atomic.Bool
 	once    sync.Once
-	gone    func(*conn)
+	onClose func(*conn)
 }
 
 func (c *conn) Read(p []byte) (int, error) {
@@ -35,33 +35,33 @@
 	return c.Conn.Write(p)
 }
 
-// Close ends the connection. A silent one is kept open until the peer closes
-// it: the peer must not be told what a lost connection would never tell it.
+// Close closes the connection. A silent one is kept open until the peer closes
+// it: a peer of a lost connection would not receive a FIN either.
 func (c *conn) Close() error {
 	if c.silent.Load() {
 		go func() {
 			_, _ = io.Copy(io.Discard, c.Conn)
-			_ = c.end()
+			_ = c.closeNow()
 		}()
 		return nil
 	}
-	return c.end()
+	return c.closeNow()
 }
 
-func (c *conn) end() error {
-	c.once.Do(func() { c.gone(c) })
+func (c *conn) closeNow() error {
+	c.once.Do(func() { c.onClose(c) })
 	return c.Conn.Close()
 }
 
-// reset ends the connection with a TCP reset.
+// reset closes the connection with a TCP reset.
 func (c *conn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
-	_ = c.end()
+	_ = c.closeNow()
 }
 
-// listener hands out connections that the server can silence and reset.
+// listener accepts connections that the server can silence and reset.
 type listener struct {
 	net.Listener
 	mu   sync.Mutex
@@ -72,27 +72,28 @@
 	return &listener{Listener: inner, open: make(map[*conn]struct{})}
 }
 
-// Accept waits for the next connection and keeps account of it.
+// Accept waits for the next connection and adds it to the open ones.
 func (l *listener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: raw, gone: l.forget}
+	c := &conn{Conn: raw, onClose: l.remove}
 	l.mu.Lock()
 	l.open[c] = struct{}{}
 	l.mu.Unlock()
 	return c, nil
 }
 
-func (l *listener) forget(c *conn) {
+func (l *listener) remove(c *conn) {
 	l.mu.Lock()
 	delete(l.open, c)
 	l.mu.Unlock()
 }
 
-// data lists the open connections that carry more than control calls.
-func (l *listener) data() []*conn {
+// dataConns lists the open connections except those whose latest request was a
+// control call.
+func (l *listener) dataConns() []*conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var all []*conn
@@ -105,18 +106,18 @@
 }
 
 func (l *listener) silenceAll() {
-	for _, c := range l.data() {
+	for _, c := range l.dataConns() {
 		c.silent.Store(true)
 	}
 }
 
 func (l *listener) resetAll() {
-	for _, c := range l.data() {
+	for _, c := range l.dataConns() {
 		c.reset()
 	}
 }
 
-func (l *listener) endAll() {
+func (l *listener) closeAll() {
 	l.mu.Lock()
 	all := make([]*conn, 0, len(l.open))
 	for c := range l.open {
@@ -124,7 +125,7 @@
 	}
 	l.mu.Unlock()
 	for _, c := range all {
-		_ = c.end()
+		_ = c.closeNow()
 	}
 }
 
@@ -134,23 +135,24 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// connOf returns the connection that carries a request, or nil where the
+// requestConn returns the connection that carries a request, or nil if the
 // handler is not served by this package.
-func connOf(r *http.Request) *conn {
+func requestConn(r *http.Request) *conn {
 	c, _ := r.Context().Value(connKey{}).(*conn)
 	return c
 }
 
-// silence makes the request's connection silent for good.
+// silence makes the request's connection silent until it is closed.
 func silence(r *http.Request) {
-	if c := connOf(r); c != nil {
+	if c := requestConn(r); c != nil {
 		c.silent.Store(true)
 	}
 }
 
-// abort ends the request's connection by a reset, without an answer.
+// abort resets the request's connection without answering and panics with
+// http.ErrAbortHandler.
 func abort(r *http.Request) {
-	if c := connOf(r); c != nil {
+	if c := requestConn(r); c != nil {
 		c.reset()
 	}
 	panic(http.ErrAbortHandler)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -15,52 +15,55 @@
 type EngineOptions struct {
 	// Name is the engine's name. The default is "engine".
 	Name string `yaml:"name"`
-	// Memory is what weights and KV cache share. The default is 80 GiB.
+	// Memory is the size of the memory that weights and KV cache share. The
+	// default is 80 GiB.
 	Memory document.Bytes `yaml:"memory"`
 	// KVCacheReserve is the part of Memory that weights must leave free. The
 	// default is 8 GiB.
 	KVCacheReserve document.Bytes `yaml:"kv_cache_reserve"`
-	// KVBytesPerToken is the KV cache of one token. The default is 128 KiB.
+	// KVBytesPerToken is the KV cache that one token takes. The default is
+	// 128 KiB.
 	KVBytesPerToken document.Bytes `yaml:"kv_bytes_per_token"`
-	// Fencing says whether orders with an old fencing number are refused. The
+	// Fencing says whether orders with a stale fencing token are refused. The
 	// default is "ignored".
 	Fencing document.Fencing `yaml:"fencing"`
-	// WeightStore is the URL of the weight store. Where it is empty and no
-	// Weights are given, a load takes LoadTime.
+	// WeightStore is the URL of the weight store. If it is empty and Weights is
+	// nil, a load takes LoadTime.
 	WeightStore string `yaml:"weight_store"`
 	// LoadTime is how long a load takes without a weight store. The default
-	// is none.
+	// is 0.
 	LoadTime time.Duration `yaml:"load_time"`
-	// Resident lists what is in memory and ready at the start.
+	// Resident lists the items that are in memory and ready at the start.
 	Resident []ResidentOption `yaml:"resident"`
-	// TimeScale divides every time of generation: with 10 the engine is ten
-	// times as fast. The default is 1.
+	// TimeScale divides the duration of batch steps and of loads that take
+	// LoadTime: with 10 the engine is ten times as fast. The default is 1.
 	TimeScale float64 `yaml:"time_scale"`
-	// PrefillTokensPerSecond is the speed of reading a prompt. The default is
-	// 8000.
+	// PrefillTokensPerSecond is the speed of prefill. The default is 8000.
 	PrefillTokensPerSecond float64 `yaml:"prefill_tokens_per_second"`
-	// StepTime is the time between tokens of a request that runs alone. The
-	// default is 18ms.
+	// StepTime is the time between tokens of a request that runs alone in the
+	// batch. The default is 18ms.
 	StepTime time.Duration `yaml:"step_time"`
-	// SequenceTime is what each running request adds to the time between
-	// tokens. The default is 500µs.
+	// SequenceTime is the time that each further generating request adds to a
+	// step. The default is 500µs.
 	SequenceTime time.Duration `yaml:"sequence_time"`
-	// MaxBatch is how many requests run at once. The default is 64.
+	// MaxBatch is the largest number of requests in the batch. The default is
+	// 64.
 	MaxBatch int `yaml:"max_batch"`
-	// AdapterTime is what an adapter adds to a step. The default is 7.5ms.
+	// AdapterTime is the time that an adapter adds to a step. The default is
+	// 7.5ms.
 	AdapterTime time.Duration `yaml:"adapter_time"`
-	// AdapterKnee is the number of requests in flight for one adapter beyond
-	// which AdapterTime grows in proportion. The default is 60.
+	// AdapterKnee is the number of in-flight requests of one adapter above
+	// which AdapterTime grows in proportion to them. The default is 60.
 	AdapterKnee int `yaml:"adapter_knee"`
-	// ReportLag is the age of load reports. The default is none.
+	// ReportLag is the age of load reports. The default is 0.
 	ReportLag time.Duration `yaml:"report_lag"`
-	// OrphanTimeout is how long a stream that nobody reads goes on. The
-	// default is 30s.
+	// OrphanTimeout is how long a stream without a reader runs before it is
+	// cancelled. The default is 30s.
 	OrphanTimeout time.Duration `yaml:"orphan_timeout"`
-	// Weights is where loads come from; it goes before WeightStore.
+	// Weights is the source of loads; it takes precedence over WeightStore.
 	Weights Weights `yaml:"-"`
-	// Adapters counts requests in flight per adapter. Engines that share one
-	// share the knee. The default is a count of the engine's own.
+	// Adapters counts in-flight requests per adapter. Engines that share a meter
+	// reach AdapterKnee together. By default the engine has its own meter.
 	Adapters *AdapterMeter `yaml:"-"`
 }
 
@@ -72,27 +75,27 @@
 	Memory  document.Bytes `yaml:"memory"`
 }
 
-func orDefault[T comparable](v *T, d T) {
+func setDefault[T comparable](v *T, d T) {
 	var zero T
 	if *v == zero {
 		*v = d
 	}
 }
 
-func (o *EngineOptions) fill() {
-	orDefault(&o.Name, "engine")
-	orDefault(&o.Memory, 80*document.GiB)
-	orDefault(&o.KVCacheReserve, 8*document.GiB)
-	orDefault(&o.KVBytesPerToken, 128*document.KiB)
-	orDefault(&o.Fencing, document.FencingIgnored)
-	orDefault(&o.TimeScale, 1)
-	orDefault(&o.PrefillTokensPerSecond, 8000)
-	orDefault(&o.StepTime, 18*time.Millisecond)
-	orDefault(&o.SequenceTime, 500*time.Microsecond)
-	orDefault(&o.MaxBatch, 64)
-	orDefault(&o.AdapterTime, 7500*time.Microsecond)
-	orDefault(&o.AdapterKnee, 60)
-	orDefault(&o.OrphanTimeout, 30*time.Second)
+func (o *EngineOptions) setDefaults() {
+	setDefault(&o.Name, "engine")
+	setDefault(&o.Memory, 80*document.GiB)
+	setDefault(&o.KVCacheReserve, 8*document.GiB)
+	setDefault(&o.KVBytesPerToken, 128*document.KiB)
+	setDefault(&o.Fencing, document.FencingIgnored)
+	setDefault(&o.TimeScale, 1)
+	setDefault(&o.PrefillTokensPerSecond, 8000)
+	setDefault(&o.StepTime, 18*time.Millisecond)
+	setDefault(&o.SequenceTime, 500*time.Microsecond)
+	setDefault(&o.MaxBatch, 64)
+	setDefault(&o.AdapterTime, 7500*time.Microsecond)
+	setDefault(&o.AdapterKnee, 60)
+	setDefault(&o.OrphanTimeout, 30*time.Second)
 	if o.Weights == nil && o.WeightStore != "" {
 		o.Weights = RemoteWeights{URL: o.WeightStore}
 	}
@@ -101,13 +104,13 @@
 	}
 }
 
-// AdapterMeter counts the requests in flight for each adapter.
+// AdapterMeter counts the in-flight requests of each adapter.
 type AdapterMeter struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-// NewAdapterMeter makes a meter whose counts are zero.
+// NewAdapterMeter returns a meter whose counts are zero.
 func NewAdapterMeter() *AdapterMeter {
 	return &AdapterMeter{counts: make(map[string]int)}
 }
@@ -124,28 +127,31 @@
 	return m.counts[adapter]
 }
 
-// EngineFaults are the faults of a model engine. A count says how many of the
-// next exchanges it hits; an exchange is hit by one counted fault at most.
+// EngineFaults are the faults of a model engine. A count is the number of
+// upcoming exchanges that the fault affects; at most one counted fault affects
+// an exchange.
 type EngineFaults struct {
-	// AfterEvents is after how many of its events a stream is hit by one of
-	// the next four faults. With 0 it is hit before its first event.
+	// AfterEvents is the number of events that an exchange sends before one of
+	// the next four faults affects it. With 0 that is before its first event.
 	AfterEvents int `json:"after_events"`
 	// ResetStreams resets that many streams' connections.
 	ResetStreams int `json:"reset_streams"`
 	// SilenceStreams makes that many streams' connections silent.
 	SilenceStreams int `json:"silence_streams"`
-	// TruncateStreams ends that many streams in good order but early.
+	// TruncateStreams ends that many streams early, without a transport error.
 	TruncateStreams int `json:"truncate_streams"`
 	// MisrouteStreams answers that many streams with another request's ID.
 	MisrouteStreams int `json:"misroute_streams"`
 	// Errors answers that many requests with status 500 before they run.
 	Errors int `json:"errors"`
-	// LoseOrders resets that many orders before they take effect.
+	// LoseOrders resets the connection of that many orders before they take
+	// effect.
 	LoseOrders int `json:"lose_orders"`
-	// LoseOrderAnswers resets that many orders after they took effect.
+	// LoseOrderAnswers resets the connection of that many orders after they
+	// took effect.
 	LoseOrderAnswers int `json:"lose_order_answers"`
-	// DelayOrdersMS delays the effect of every order, even if the sender has
-	// given up by then.
+	// DelayOrdersMS delays the effect of every order, which takes place even
+	// if the sender has stopped waiting.
 	DelayOrdersMS int64 `json:"delay_orders_ms"`
 	// DuplicateOrders applies that many orders a second time, after
 	// DuplicateAfterMS.
@@ -153,58 +159,60 @@
 	DuplicateAfterMS int64 `json:"duplicate_after_ms"`
 	// MisrouteOrders answers that many orders with another order's ID.
 	MisrouteOrders int `json:"misroute_orders"`
-	// FailLoads makes that many loads fail.
+	// FailLoads makes that many loads fail after their weights were read.
 	FailLoads int `json:"fail_loads"`
-	// Draining makes the engine leave: it says so and takes no new request.
+	// Draining makes the engine report that it is draining and refuse new
+	// requests.
 	Draining bool `json:"draining"`
 	// ReportsStuck freezes the load report.
 	ReportsStuck bool `json:"reports_stuck"`
-	// SlowFactor, if it is over 1, makes every step that many times as long.
+	// SlowFactor, if it is greater than 1, multiplies the duration of every
+	// step.
 	SlowFactor float64 `json:"slow_factor"`
 }
 
-// Engine is the stand-in of a model engine: one continuous batch, a prefix
-// cache, weights in accounted memory, and orders that change them.
+// Engine is the stand-in for a model engine: one continuous batch, a prefix
+// cache, weights in accounted memory, and orders that load and unload them.
 type Engine struct {
 	options EngineOptions
 	wake    chan struct{}
 	closed  chan struct{}
 	once    sync.Once
 
-	mu          sync.Mutex
-	faults      EngineFaults
-	records     EngineRecords
-	generation  int
-	incarnation string
-	resident    map[engine.Item]*resident
-	loadCount   int
-	memoryUsed  int64
-	orders      map[string]*engine.OrderStatus
-	fence       int64
-	streams     map[string]*stream
-	finished    []string
-	waiting     []*stream
-	running     []*stream
-	cache       *prefixCache
-	sequence    int64
-	published   engine.Load
-	pending     engine.Load
+	mu               sync.Mutex
+	faults           EngineFaults
+	records          EngineRecords
+	incarnationCount int
+	incarnation      string
+	resident         map[engine.Item]*resident
+	loadCount        int
+	memoryUsed       int64
+	orders           map[string]*engine.OrderStatus
+	highestFence     int64
+	streams          map[string]*stream
+	finished         []string
+	waiting          []*stream
+	running          []*stream
+	cache            *prefixCache
+	sequence         int64
+	published        engine.Load
+	pending          engine.Load
 }
 
-// NewEngine makes an engine and starts its batch.
+// NewEngine returns an engine whose batch is running.
 func NewEngine(o EngineOptions) *Engine {
-	o.fill()
+	o.setDefaults()
 	e := &Engine{options: o, wake: make(chan struct{}, 1), closed: make(chan struct{})}
 	e.records.Executions = make(map[string]int)
-	e.begin()
+	e.startIncarnation()
 	for _, r := range o.Resident {
 		item := engine.Item{Model: r.Model, Adapter: r.Adapter, Version: r.Version}
 		e.loadCount++
-		e.resident[item] = &resident{memory: int64(r.Memory), state: engine.ItemReady, since: e.loadCount}
+		e.resident[item] = &resident{memory: int64(r.Memory), state: engine.ItemReady, loadNumber: e.loadCount}
 		e.memoryUsed += int64(r.Memory)
 	}
-	e.account("")
-	e.published = e.report()
+	e.recordMemory("")
+	e.published = e.newReport()
 	e.pending = e.published
 	go e.runBatch()
 	if o.ReportLag > 0 {
@@ -213,21 +221,22 @@
 	return e
 }
 
-// begin starts an incarnation with empty memory.
-func (e *Engine) begin() {
-	e.generation++
-	e.incarnation = fmt.Sprintf("%s-%d-%d", e.options.Name, time.Now().UnixNano(), e.generation)
+// startIncarnation starts a new incarnation with empty memory.
+func (e *Engine) startIncarnation() {
+	e.incarnationCount++
+	e.incarnation = fmt.Sprintf("%s-%d-%d", e.options.Name, time.Now().UnixNano(), e.incarnationCount)
 	e.resident = make(map[engine.Item]*resident)
 	e.memoryUsed = 0
 	e.orders = make(map[string]*engine.OrderStatus)
-	e.fence = 0
+	e.highestFence = 0
 	e.streams = make(map[string]*stream)
 	e.finished, e.waiting, e.running = nil, nil, nil
 	e.cache = newPrefixCache(int(e.options.KVCacheReserve / e.options.KVBytesPerToken / blockTokens))
 	e.sequence = 0
 }
 
-// restart loses everything that the engine held in memory.
+// restart discards everything that the engine held in memory and breaks its
+// unfinished streams.
 func (e *Engine) restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -236,12 +245,12 @@
 			continue
 		}
 		e.records.CutByRestart++
-		s.dead = true
+		s.lost = true
 		e.release(s)
 		s.notify()
 	}
-	e.begin()
-	e.published = e.report()
+	e.startIncarnation()
+	e.published = e.newReport()
 	e.pending = e.published
 }
 
@@ -266,8 +275,9 @@
 	}
 }
 
-// take lowers a counted fault and says whether it hits. The caller holds mu.
-func (e *Engine) take(count *int) bool {
+// consumeFault decrements the count of a fault and reports whether the fault
+// applies. The caller holds mu.
+func (e *Engine) consumeFault(count *int) bool {
 	if *count <= 0 {
 		return false
 	}
@@ -275,12 +285,12 @@
 	return true
 }
 
-// scaled returns how long a time of the model takes on this engine's clock.
+// scaled divides a duration by TimeScale.
 func (e *Engine) scaled(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / e.options.TimeScale)
 }
 
-// ServeHTTP answers the calls of docs/PROTOCOLS.md.
+// ServeHTTP answers the calls described in docs/PROTOCOLS.md.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	path := r.URL.Path
 	switch {
@@ -294,7 +304,7 @@
 	case r.Method == http.MethodGet && strings.HasPrefix(path, "/v1/streams/"):
 		e.serveResume(w, r, strings.TrimPrefix(path, "/v1/streams/"))
 	case r.Method == http.MethodGet && path == "/v1/load":
-		writeJSON(w, http.StatusOK, e.seenReport())
+		writeJSON(w, http.StatusOK, e.visibleReport())
 	case r.Method == http.MethodPost && path == "/v1/orders":
 		e.serveOrder(w, r)
 	case r.Method == http.MethodGet && strings.HasPrefix(path, "/v1/orders/"):
--- a/internal/standin/engine_batch.go
+++ b/internal/standin/engine_batch.go
@@ -8,34 +8,35 @@
 )
 
 const (
-	// prefillChunk is how many prompt tokens a step reads beside generating
-	// requests; alone, a step reads prefillAlone.
-	prefillChunk = 128
-	prefillAlone = 1024
-	// keptStreams is how many finished streams can still be resumed.
-	keptStreams = 4096
+	// prefillChunk is how many prompt tokens a step reads while requests
+	// generate; a step in which none generates reads prefillOnlyChunk.
+	prefillChunk     = 128
+	prefillOnlyChunk = 1024
+	// maxFinishedStreams is how many finished streams can still be resumed.
+	maxFinishedStreams = 4096
 )
 
-// stream is one generation and the events that it has produced.
+// stream is one generation and the events that it has produced so far.
 type stream struct {
-	id         string
-	name       string
-	item       engine.Item
-	chat       bool
-	text       Generation
-	prompt     int
-	cached     int
-	prefill    int
-	next       int
-	priority   int
-	created    int64
-	events     []string
-	done       bool
-	dead       bool
-	readers    int
-	unreadFrom time.Time
-	changed    chan struct{}
-	record     *EngineRequest
+	id             string
+	requestedModel string
+	item           engine.Item
+	chat           bool
+	output         Generation
+	promptTokens   int
+	cachedTokens   int
+	prefillLeft    int
+	nextToken      int
+	priority       int
+	created        int64
+	events         []string
+	done           bool
+	// lost is set when a restart of the engine broke the stream.
+	lost        bool
+	readers     int
+	unreadSince time.Time
+	changed     chan struct{}
+	record      *EngineRequest
 }
 
 // notify wakes the readers.
@@ -44,37 +45,37 @@
 	s.changed = make(chan struct{})
 }
 
-func (e *Engine) poke() {
+func (e *Engine) wakeBatch() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// kvUsed is the KV cache that running requests and the prefix cache take, in
-// bytes and at most all of it.
+// kvUsed returns the KV cache in bytes that running requests and the prefix
+// cache take, limited to KVCacheReserve.
 func (e *Engine) kvUsed() int64 {
 	tokens := len(e.cache.blocks) * blockTokens
 	for _, s := range e.running {
-		tokens += s.text.Tokens
+		tokens += s.output.Tokens
 	}
 	return min(int64(tokens)*int64(e.options.KVBytesPerToken), int64(e.options.KVCacheReserve))
 }
 
-// enqueue puts a stream into the waiting line: larger priorities first, then
-// in the order of arrival.
+// enqueue inserts a stream into the queue: larger priorities first, equal
+// priorities in order of arrival.
 func (e *Engine) enqueue(s *stream) {
-	at, _ := slices.BinarySearchFunc(e.waiting, s, func(have, add *stream) int {
-		if have.priority >= add.priority {
+	at, _ := slices.BinarySearchFunc(e.waiting, s, func(queued, added *stream) int {
+		if queued.priority >= added.priority {
 			return -1
 		}
 		return 1
 	})
 	e.waiting = slices.Insert(e.waiting, at, s)
-	e.poke()
+	e.wakeBatch()
 }
 
-// runBatch steps the batch whenever something runs or waits.
+// runBatch steps the batch while a stream runs or waits.
 func (e *Engine) runBatch() {
 	for {
 		select {
@@ -87,7 +88,8 @@
 	}
 }
 
-// step takes one step of the batch and says whether there was one to take.
+// step runs one step of the batch. It returns false if the batch is empty or
+// the engine is closed.
 func (e *Engine) step() bool {
 	e.mu.Lock()
 	e.fillBatch()
@@ -95,7 +97,7 @@
 		e.mu.Unlock()
 		return false
 	}
-	generating, duration := e.plan()
+	generating, duration := e.planStep()
 	e.mu.Unlock()
 	t := time.NewTimer(duration)
 	select {
@@ -108,31 +110,31 @@
 	defer e.mu.Unlock()
 	e.records.BusySeconds += duration.Seconds()
 	for _, s := range generating {
-		if !s.dead && !s.done {
-			e.emit(s)
+		if !s.lost && !s.done {
+			e.emitToken(s)
 		}
 	}
-	e.endOrphans()
-	e.running = slices.DeleteFunc(e.running, func(s *stream) bool { return s.done || s.dead })
+	e.cancelOrphans()
+	e.running = slices.DeleteFunc(e.running, func(s *stream) bool { return s.done || s.lost })
 	return true
 }
 
-// fillBatch moves waiting streams into the batch while it and the KV cache
-// have room.
+// fillBatch moves waiting streams into the batch while the batch and the KV
+// cache have room. A stream too large for the KV cache runs in an empty batch.
 func (e *Engine) fillBatch() {
 	budget := int(e.options.KVCacheReserve / e.options.KVBytesPerToken)
 	for _, s := range e.running {
-		budget -= s.prompt + s.text.Tokens
+		budget -= s.promptTokens + s.output.Tokens
 	}
 	for len(e.waiting) > 0 && len(e.running) < e.options.MaxBatch {
 		s := e.waiting[0]
-		need := s.prompt + s.text.Tokens
+		need := s.promptTokens + s.output.Tokens
 		if need > budget && len(e.running) > 0 {
 			break
 		}
 		budget -= need
 		e.waiting = e.waiting[1:]
-		if s.done || s.dead {
+		if s.done || s.lost {
 			continue
 		}
 		e.running = append(e.running, s)
@@ -140,25 +142,25 @@
 	e.records.MaxRunning = max(e.records.MaxRunning, len(e.running))
 }
 
-// plan spends the step's reading budget and returns the streams that generate
-// a token in it and how long it takes.
-func (e *Engine) plan() ([]*stream, time.Duration) {
+// planStep spends the step's prefill budget. It returns the streams that
+// generate a token in the step and the step's duration.
+func (e *Engine) planStep() ([]*stream, time.Duration) {
 	var generating []*stream
 	for _, s := range e.running {
-		if s.prefill == 0 {
+		if s.prefillLeft == 0 {
 			generating = append(generating, s)
 		}
 	}
-	budget := prefillAlone
+	budget := prefillOnlyChunk
 	if len(generating) > 0 {
 		budget = prefillChunk
 	}
 	read := 0
 	for _, s := range e.running {
-		chunk := min(s.prefill, budget-read)
-		s.prefill -= chunk
+		chunk := min(s.prefillLeft, budget-read)
+		s.prefillLeft -= chunk
 		read += chunk
-		if chunk > 0 && s.prefill == 0 {
+		if chunk > 0 && s.prefillLeft == 0 {
 			generating = append(generating, s)
 		}
 	}
@@ -171,7 +173,8 @@
 	return generating, e.scaled(duration)
 }
 
-// adapterTime is what the slowest adapter of the batch adds to a step.
+// adapterTime returns the time that the slowest adapter of the batch adds to a
+// step.
 func (e *Engine) adapterTime() time.Duration {
 	longest := time.Duration(0)
 	for _, s := range e.running {
@@ -184,25 +187,26 @@
 	return longest
 }
 
-// emit adds a stream's next token, and after the last one its end.
-func (e *Engine) emit(s *stream) {
-	if s.next < s.text.Tokens {
-		s.events = append(s.events, s.chunk(s.text.Token(s.next), "", nil))
-		s.next++
+// emitToken appends the event of a stream's next token and, after the last
+// token, the events that end the stream.
+func (e *Engine) emitToken(s *stream) {
+	if s.nextToken < s.output.Tokens {
+		s.events = append(s.events, s.encodeChunk(s.output.Token(s.nextToken), "", nil))
+		s.nextToken++
 		s.record.Generated++
 		e.records.GeneratedTokens++
 	}
-	if s.next == s.text.Tokens {
-		u := usage{PromptTokens: s.prompt, CompletionTokens: s.text.Tokens, TotalTokens: s.prompt + s.text.Tokens}
-		u.Details.CachedTokens = s.cached
-		s.events = append(s.events, s.chunk("", s.text.Finish, &u), doneData)
+	if s.nextToken == s.output.Tokens {
+		u := usage{PromptTokens: s.promptTokens, CompletionTokens: s.output.Tokens, TotalTokens: s.promptTokens + s.output.Tokens}
+		u.Details.CachedTokens = s.cachedTokens
+		s.events = append(s.events, s.encodeChunk("", s.output.Finish, &u), doneData)
 		s.record.Finished = true
 		e.finish(s)
 	}
 	s.notify()
 }
 
-// finish ends a stream, whole or not. The caller holds mu.
+// finish ends a stream, complete or not. The caller holds mu.
 func (e *Engine) finish(s *stream) {
 	if s.done {
 		return
@@ -210,16 +214,16 @@
 	s.done = true
 	e.release(s)
 	e.finished = append(e.finished, s.id)
-	if len(e.finished) > keptStreams {
+	if len(e.finished) > maxFinishedStreams {
 		if old := e.streams[e.finished[0]]; old != nil && old.done {
 			delete(e.streams, e.finished[0])
 		}
 		e.finished = e.finished[1:]
 	}
-	e.settle()
+	e.removeUnloaded()
 }
 
-// release gives back what a stream holds beside its events.
+// release removes a stream from the in-flight counts of its item and adapter.
 func (e *Engine) release(s *stream) {
 	if r := e.resident[s.item]; r != nil {
 		r.inFlight--
@@ -229,10 +233,11 @@
 	}
 }
 
-// endOrphans cancels the streams that nobody has read for too long.
-func (e *Engine) endOrphans() {
+// cancelOrphans cancels the running streams that have had no reader for
+// OrphanTimeout.
+func (e *Engine) cancelOrphans() {
 	for _, s := range e.running {
-		if s.done || s.dead || s.readers > 0 || time.Since(s.unreadFrom) < e.options.OrphanTimeout {
+		if s.done || s.lost || s.readers > 0 || time.Since(s.unreadSince) < e.options.OrphanTimeout {
 			continue
 		}
 		e.records.Orphans++
--- a/internal/standin/engine_orders.go
+++ b/internal/standin/engine_orders.go
@@ -11,14 +11,14 @@
 	"github.com/chestnutarch/chestnutarch/internal/engine"
 )
 
-// resident is an item in memory.
+// resident is an item that takes memory: loading, ready or unloading.
 type resident struct {
-	memory   int64
-	state    engine.ItemState
-	inFlight int
-	reading  bool
-	since    int
-	waiters  []*engine.OrderStatus
+	memory        int64
+	state         engine.ItemState
+	inFlight      int
+	reading       bool
+	loadNumber    int
+	waitingOrders []*engine.OrderStatus
 }
 
 func (e *Engine) hasBase(model string) bool {
@@ -45,14 +45,14 @@
 	return adapters > 0 && bases <= 1
 }
 
-// serveOrder receives one order and answers with its state.
+// serveOrder applies one order and answers with its state.
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var order engine.Order
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&order); err != nil || order.OrderID == "" {
 		refuse(w, http.StatusBadRequest, "invalid_order", "an order needs an ID")
 		return
 	}
-	fault := e.takeOrderFault()
+	fault := e.consumeOrderFault()
 	if fault.LoseOrders > 0 {
 		abort(r)
 	}
@@ -64,8 +64,8 @@
 		deliver()
 	}
 	if fault.DuplicateOrders > 0 {
-		again := time.Duration(fault.DelayOrdersMS+fault.DuplicateAfterMS) * time.Millisecond
-		time.AfterFunc(again, func() { e.apply(order) })
+		duplicateDelay := time.Duration(fault.DelayOrdersMS+fault.DuplicateAfterMS) * time.Millisecond
+		time.AfterFunc(duplicateDelay, func() { e.apply(order) })
 	}
 	select {
 	case s := <-status:
@@ -88,25 +88,25 @@
 	writeJSON(w, code, s)
 }
 
-func (e *Engine) takeOrderFault() EngineFaults {
+func (e *Engine) consumeOrderFault() EngineFaults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	hit := EngineFaults{DelayOrdersMS: e.faults.DelayOrdersMS, DuplicateAfterMS: e.faults.DuplicateAfterMS}
 	switch {
-	case e.take(&e.faults.LoseOrders):
+	case e.consumeFault(&e.faults.LoseOrders):
 		hit.LoseOrders = 1
-	case e.take(&e.faults.LoseOrderAnswers):
+	case e.consumeFault(&e.faults.LoseOrderAnswers):
 		hit.LoseOrderAnswers = 1
-	case e.take(&e.faults.DuplicateOrders):
+	case e.consumeFault(&e.faults.DuplicateOrders):
 		hit.DuplicateOrders = 1
-	case e.take(&e.faults.MisrouteOrders):
+	case e.consumeFault(&e.faults.MisrouteOrders):
 		hit.MisrouteOrders = 1
 	}
 	return hit
 }
 
-// serveOrderState answers with what the engine knows of an order. After a
-// restart it knows nothing of earlier ones.
+// serveOrderState answers with the state of an order. A restart discards the
+// states of earlier orders.
 func (e *Engine) serveOrderState(w http.ResponseWriter, id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -118,7 +118,7 @@
 	writeJSON(w, http.StatusOK, *s)
 }
 
-// apply gives an order its effect, once for each order ID and incarnation.
+// apply carries out an order, once for each order ID and incarnation.
 func (e *Engine) apply(o engine.Order) engine.OrderStatus {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -128,7 +128,7 @@
 	s := &engine.OrderStatus{OrderID: o.OrderID, State: engine.OrderRunning, Incarnation: e.incarnation}
 	e.orders[o.OrderID] = s
 	switch {
-	case !e.passFence(o):
+	case !e.checkFence(o):
 		s.State, s.Reason = engine.OrderRefused, "old fencing number"
 	case o.Kind == engine.OrderLoad:
 		e.load(o, s)
@@ -143,11 +143,11 @@
 	return *s
 }
 
-// passFence notes an order's fencing number and says whether the order may
-// take effect.
-func (e *Engine) passFence(o engine.Order) bool {
-	if o.Fence >= e.fence {
-		e.fence = o.Fence
+// checkFence records an order's fencing token if it is the highest so far, and
+// reports whether the order may take effect.
+func (e *Engine) checkFence(o engine.Order) bool {
+	if o.Fence >= e.highestFence {
+		e.highestFence = o.Fence
 		return true
 	}
 	if e.options.Fencing == document.FencingEnforced {
@@ -164,7 +164,7 @@
 		case engine.ItemReady:
 			s.State = engine.OrderDone
 		case engine.ItemLoading:
-			r.waiters = append(r.waiters, s)
+			r.waitingOrders = append(r.waitingOrders, s)
 		default:
 			s.State, s.Reason = engine.OrderFailed, "being unloaded"
 		}
@@ -175,16 +175,17 @@
 		return
 	}
 	e.records.Loads++
-	r := &resident{memory: o.Memory, state: engine.ItemLoading, reading: true, waiters: []*engine.OrderStatus{s}}
+	r := &resident{memory: o.Memory, state: engine.ItemLoading, reading: true, waitingOrders: []*engine.OrderStatus{s}}
 	e.resident[o.Item] = r
 	e.memoryUsed += o.Memory
-	e.account(o.OrderID)
-	fail := e.take(&e.faults.FailLoads)
-	go e.read(o, r, fail)
+	e.recordMemory(o.OrderID)
+	fail := e.consumeFault(&e.faults.FailLoads)
+	go e.readWeights(o, r, fail)
 }
 
-// read reads an item's weights and makes the item ready, or drops it.
-func (e *Engine) read(o engine.Order, r *resident, fail bool) {
+// readWeights reads an item's weights, then makes the item ready, or removes it
+// if the load failed.
+func (e *Engine) readWeights(o engine.Order, r *resident, fail bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
@@ -215,27 +216,27 @@
 	}
 	switch {
 	case r.state == engine.ItemUnloading:
-		e.settle()
+		e.removeUnloaded()
 	case reason != "":
-		r.conclude(engine.OrderFailed, reason)
+		r.completeOrders(engine.OrderFailed, reason)
 		e.remove(o.Item, r)
 	default:
 		e.loadCount++
-		r.since = e.loadCount
+		r.loadNumber = e.loadCount
 		r.state = engine.ItemReady
-		r.conclude(engine.OrderDone, "")
+		r.completeOrders(engine.OrderDone, "")
 	}
 }
 
-func (r *resident) conclude(state engine.OrderState, reason string) {
-	for _, s := range r.waiters {
+func (r *resident) completeOrders(state engine.OrderState, reason string) {
+	for _, s := range r.waitingOrders {
 		s.State, s.Reason = state, reason
 	}
-	r.waiters = nil
+	r.waitingOrders = nil
 }
 
-// unload takes an item out of service at once and out of memory when the last
-// request that uses it has ended.
+// unload takes an item out of service at once. The item leaves memory when the
+// last request that uses it has ended.
 func (e *Engine) unload(o engine.Order, s *engine.OrderStatus) {
 	r := e.resident[o.Item]
 	if r == nil {
@@ -248,18 +249,19 @@
 	}
 	if r.state != engine.ItemUnloading {
 		e.records.Unloads++
-		r.conclude(engine.OrderFailed, "unloaded")
+		r.completeOrders(engine.OrderFailed, "unloaded")
 		r.state = engine.ItemUnloading
 	}
-	r.waiters = append(r.waiters, s)
-	e.settle()
+	r.waitingOrders = append(r.waitingOrders, s)
+	e.removeUnloaded()
 }
 
-// settle drops the items whose unloading waited for nothing any more.
-func (e *Engine) settle() {
+// removeUnloaded removes the items being unloaded that have no in-flight
+// request and whose weights are not being read.
+func (e *Engine) removeUnloaded() {
 	for item, r := range e.resident {
 		if r.state == engine.ItemUnloading && r.inFlight == 0 && !r.reading {
-			r.conclude(engine.OrderDone, "")
+			r.completeOrders(engine.OrderDone, "")
 			e.remove(item, r)
 		}
 	}
--- a/internal/standin/engine_records.go
+++ b/internal/standin/engine_records.go
@@ -15,19 +15,19 @@
 	// RequestID is the X-Request-Id.
 	RequestID string `json:"request_id"`
 	Path      string `json:"path"`
-	// Model is the name that was asked for, Version what served it.
+	// Model is the requested name, Version the version that served it.
 	Model      string      `json:"model"`
 	Version    string      `json:"version"`
 	Header     http.Header `json:"header"`
 	BodySHA256 string      `json:"body_sha256"`
 	Priority   int         `json:"priority"`
-	// ResumedFrom is the last event that the requester has, 0 for a new one.
+	// ResumedFrom is the Last-Event-ID of the request, 0 for a new generation.
 	ResumedFrom int `json:"resumed_from"`
 	// PromptTokens and CachedTokens are the prompt's size and the part of it
 	// that the prefix cache held.
 	PromptTokens int `json:"prompt_tokens"`
 	CachedTokens int `json:"cached_tokens"`
-	// Generated is the number of tokens so far.
+	// Generated is the number of tokens generated so far.
 	Generated int  `json:"generated"`
 	Finished  bool `json:"finished"`
 	Cancelled bool `json:"cancelled"`
@@ -40,7 +40,8 @@
 	State engine.OrderState `json:"state"`
 }
 
-// Overcommit is a moment at which weights took more memory than they may.
+// Overcommit is a moment at which weights took more memory than their limit, in
+// bytes.
 type Overcommit struct {
 	Time    time.Time `json:"time"`
 	OrderID string    `json:"order_id"`
@@ -48,7 +49,7 @@
 	Limit   int64     `json:"limit"`
 }
 
-// EngineRecords is what a model engine saw, over all its incarnations.
+// EngineRecords holds what a model engine recorded, over all its incarnations.
 type EngineRecords struct {
 	Engine      string `json:"engine"`
 	Incarnation string `json:"incarnation"`
@@ -56,29 +57,30 @@
 	Received int `json:"received"`
 	// Executions counts generations that began, per X-Request-Id.
 	Executions map[string]int `json:"executions"`
-	// Requests lists the requests that were let in, up to 20,000.
+	// Requests lists the first 20,000 requests that were accepted.
 	Requests []*EngineRequest `json:"requests"`
 	// RefusedDraining and RefusedNotResident count refusals by cause.
 	RefusedDraining    int `json:"refused_draining"`
 	RefusedNotResident int `json:"refused_not_resident"`
-	// Resumes counts streams that were taken up again, Cancels cancelled ones,
-	// Orphans those that ended because nobody read them.
+	// Resumes counts resumptions of streams, Cancels streams that a call
+	// cancelled, Orphans streams that ended because they had no reader.
 	Resumes int `json:"resumes"`
 	Cancels int `json:"cancels"`
 	Orphans int `json:"orphans"`
 	// CutByRestart counts generations that a restart broke.
 	CutByRestart int `json:"cut_by_restart"`
-	// MemoryUsed and MaxMemoryUsed are bytes of weights now and at most.
+	// MemoryUsed and MaxMemoryUsed are the current and the largest size of the
+	// weights in bytes.
 	MemoryUsed    int64 `json:"memory_used"`
 	MaxMemoryUsed int64 `json:"max_memory_used"`
-	// Overcommits lists every breach of the memory's limit.
+	// Overcommits lists every excess over the memory limit.
 	Overcommits []Overcommit `json:"overcommits"`
-	// Orders lists the orders.
+	// Orders lists the orders, each once per incarnation.
 	Orders []EngineOrder `json:"orders"`
-	// Loads and Unloads count the moves that were begun.
+	// Loads and Unloads count the loads and unloads that were started.
 	Loads   int `json:"loads"`
 	Unloads int `json:"unloads"`
-	// StaleAccepted and StaleRefused count orders with an old fencing number.
+	// StaleAccepted and StaleRefused count orders with a stale fencing token.
 	StaleAccepted int `json:"stale_accepted"`
 	StaleRefused  int `json:"stale_refused"`
 	// PromptTokens, CachedTokens and GeneratedTokens are sums over requests.
@@ -87,7 +89,7 @@
 	GeneratedTokens int64 `json:"generated_tokens"`
 	// MaxRunning is the largest batch.
 	MaxRunning int `json:"max_running"`
-	// BusySeconds is the time that the batch was not empty.
+	// BusySeconds is the time in seconds that the batch was not empty.
 	BusySeconds float64 `json:"busy_seconds"`
 }
 
@@ -110,8 +112,8 @@
 	return r
 }
 
-// account notes the memory in use and any breach of its limit.
-func (e *Engine) account(orderID string) {
+// recordMemory records the largest memory use and any excess over the limit.
+func (e *Engine) recordMemory(orderID string) {
 	e.records.MaxMemoryUsed = max(e.records.MaxMemoryUsed, e.memoryUsed)
 	limit := int64(e.options.Memory - e.options.KVCacheReserve)
 	if e.memoryUsed <= limit {
@@ -122,8 +124,8 @@
 	})
 }
 
-// report makes the load report of this moment.
-func (e *Engine) report() engine.Load {
+// newReport returns a load report of the current state.
+func (e *Engine) newReport() engine.Load {
 	e.sequence++
 	l := engine.Load{
 		Engine: e.options.Name, Incarnation: e.incarnation, Sequence: e.sequence, Time: time.Now(),
@@ -137,17 +139,17 @@
 	return l
 }
 
-// seenReport returns the report that callers see now.
-func (e *Engine) seenReport() engine.Load {
+// visibleReport returns the report that callers currently receive.
+func (e *Engine) visibleReport() engine.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.options.ReportLag <= 0 && !e.faults.ReportsStuck {
-		e.published = e.report()
+		e.published = e.newReport()
 	}
 	return e.published
 }
 
-// runReports publishes each report one lag after it was made.
+// runReports publishes each report one ReportLag after it was made.
 func (e *Engine) runReports() {
 	t := time.NewTicker(e.options.ReportLag)
 	defer t.Stop()
@@ -160,7 +162,7 @@
 		e.mu.Lock()
 		if !e.faults.ReportsStuck {
 			e.published = e.pending
-			e.pending = e.report()
+			e.pending = e.newReport()
 		}
 		e.mu.Unlock()
 	}
--- a/internal/standin/engine_stream.go
+++ b/internal/standin/engine_stream.go
@@ -56,8 +56,8 @@
 	Usage       *usage   `json:"usage,omitempty"`
 }
 
-// chunk returns the data of one event.
-func (s *stream) chunk(text, finish string, u *usage) string {
+// encodeChunk returns the data of one event.
+func (s *stream) encodeChunk(text, finish string, u *usage) string {
 	one := choice{}
 	object := "text_completion"
 	if s.chat {
@@ -74,7 +74,7 @@
 
 func (s *stream) encode(object string, one choice, u *usage) string {
 	data, err := json.Marshal(chunk{
-		ID: s.id, Object: object, Created: s.created, Model: s.name,
+		ID: s.id, Object: object, Created: s.created, Model: s.requestedModel,
 		Fingerprint: s.item.Version, Choices: []choice{one}, Usage: u,
 	})
 	if err != nil {
@@ -83,8 +83,8 @@
 	return string(data)
 }
 
-// serveCompletion begins a generation and answers with it, as events or whole.
-// With Last-Event-ID it continues a generation that another engine began.
+// serveCompletion starts a generation and answers with it, as events or in one
+// body. With Last-Event-ID it continues a generation of another engine.
 func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request, chat bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
@@ -104,14 +104,14 @@
 	priority, _ := strconv.Atoi(r.Header.Get(priorityHeader))
 	text := Generate(request.Model, prompt, request.MaxTokens, request.IgnoreEOS)
 	s := &stream{
-		id: r.Header.Get(requestIDHeader), name: request.Model, chat: chat, text: text,
-		prompt: PromptTokens(prompt), next: min(from, text.Tokens), priority: priority,
-		created: time.Now().Unix(), unreadFrom: time.Now(), changed: make(chan struct{}),
+		id: r.Header.Get(requestIDHeader), requestedModel: request.Model, chat: chat, output: text,
+		promptTokens: PromptTokens(prompt), nextToken: min(from, text.Tokens), priority: priority,
+		created: time.Now().Unix(), unreadSince: time.Now(), changed: make(chan struct{}),
 	}
-	s.events = make([]string, s.next)
+	s.events = make([]string, s.nextToken)
 	s.record = &EngineRequest{
 		Time: time.Now(), RequestID: s.id, Path: r.URL.Path, Model: request.Model, Header: r.Header.Clone(),
-		BodySHA256: hex.EncodeToString(sum[:]), Priority: priority, ResumedFrom: from, PromptTokens: s.prompt,
+		BodySHA256: hex.EncodeToString(sum[:]), Priority: priority, ResumedFrom: from, PromptTokens: s.promptTokens,
 	}
 	if refusal := e.accept(s, prompt); refusal != nil {
 		w.Header().Set(requestIDHeader, s.id)
@@ -119,10 +119,10 @@
 		return
 	}
 	if request.Stream {
-		e.follow(w, r, s, from)
+		e.sendEvents(w, r, s, from)
 		return
 	}
-	e.answerWhole(w, r, s)
+	e.answerComplete(w, r, s)
 }
 
 type refusal struct {
@@ -130,37 +130,37 @@
 	kind, message string
 }
 
-// accept checks whether the engine can serve a request and lets it in.
+// accept enqueues a request, or returns why the engine cannot serve it.
 func (e *Engine) accept(s *stream, prompt string) *refusal {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.records.Received++
-	if e.take(&e.faults.Errors) {
+	if e.consumeFault(&e.faults.Errors) {
 		return &refusal{http.StatusInternalServerError, "server_error", "injected fault"}
 	}
 	if e.faults.Draining {
 		e.records.RefusedDraining++
 		return &refusal{http.StatusServiceUnavailable, "draining", "the engine is leaving"}
 	}
-	item, ok := e.lookUp(s.name)
+	item, ok := e.lookUp(s.requestedModel)
 	if !ok {
 		e.records.RefusedNotResident++
-		return &refusal{http.StatusNotFound, "model_not_found", "not resident: " + s.name}
+		return &refusal{http.StatusNotFound, "model_not_found", "not resident: " + s.requestedModel}
 	}
 	if s.id == "" {
 		s.id = fmt.Sprintf("unnamed-%d", e.records.Received)
 	}
 	s.item = item
-	s.cached = min(e.cache.use(itemName(item), prompt), max(0, s.prompt-1))
-	s.prefill = s.prompt - s.cached + s.next
-	s.record.Version, s.record.CachedTokens = item.Version, s.cached
+	s.cachedTokens = min(e.cache.matchAndInsert(itemName(item), prompt), max(0, s.promptTokens-1))
+	s.prefillLeft = s.promptTokens - s.cachedTokens + s.nextToken
+	s.record.Version, s.record.CachedTokens = item.Version, s.cachedTokens
 	e.resident[item].inFlight++
 	if item.Adapter != "" {
 		e.options.Adapters.add(item.Adapter, 1)
 	}
 	e.records.Executions[s.id]++
-	e.records.PromptTokens += int64(s.prompt)
-	e.records.CachedTokens += int64(s.cached)
+	e.records.PromptTokens += int64(s.promptTokens)
+	e.records.CachedTokens += int64(s.cachedTokens)
 	if len(e.records.Requests) < maxRecordedRequests {
 		e.records.Requests = append(e.records.Requests, s.record)
 	}
@@ -169,53 +169,54 @@
 	return nil
 }
 
-// lookUp finds the ready item that a name stands for: of several versions the
-// one that was loaded last. An adapter needs its base model.
+// lookUp finds the ready item with the given model or adapter name: of several
+// versions the one that was loaded last. An adapter needs its base model.
 func (e *Engine) lookUp(name string) (engine.Item, bool) {
 	var best engine.Item
-	since := 0
+	latest := 0
 	for item, r := range e.resident {
 		named := item.Adapter == name || (item.Adapter == "" && item.Model == name)
-		if !named || r.state != engine.ItemReady || r.since <= since {
+		if !named || r.state != engine.ItemReady || r.loadNumber <= latest {
 			continue
 		}
 		if item.Adapter != "" && !e.hasBase(item.Model) {
 			continue
 		}
-		best, since = item, r.since
+		best, latest = item, r.loadNumber
 	}
-	return best, since > 0
+	return best, latest > 0
 }
 
-// attach counts a reader of the stream and returns the fault that hits the
-// exchange.
-func (e *Engine) attach(s *stream) EngineFaults {
+// addReader adds a reader to the stream and returns the fault that applies to
+// the exchange.
+func (e *Engine) addReader(s *stream) EngineFaults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s.readers++
 	hit := EngineFaults{AfterEvents: e.faults.AfterEvents}
-	from := []*int{&e.faults.ResetStreams, &e.faults.SilenceStreams, &e.faults.TruncateStreams, &e.faults.MisrouteStreams}
-	into := []*int{&hit.ResetStreams, &hit.SilenceStreams, &hit.TruncateStreams, &hit.MisrouteStreams}
-	for i := range from {
-		if e.take(from[i]) {
-			*into[i] = 1
+	counters := []*int{&e.faults.ResetStreams, &e.faults.SilenceStreams, &e.faults.TruncateStreams, &e.faults.MisrouteStreams}
+	hits := []*int{&hit.ResetStreams, &hit.SilenceStreams, &hit.TruncateStreams, &hit.MisrouteStreams}
+	for i := range counters {
+		if e.consumeFault(counters[i]) {
+			*hits[i] = 1
 			break
 		}
 	}
 	return hit
 }
 
-func (e *Engine) detach(s *stream) {
+func (e *Engine) removeReader(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s.readers--
-	s.unreadFrom = time.Now()
+	s.unreadSince = time.Now()
 }
 
-// follow sends a stream's events after one until its end.
-func (e *Engine) follow(w http.ResponseWriter, r *http.Request, s *stream, from int) {
-	fault := e.attach(s)
-	defer e.detach(s)
+// sendEvents sends a stream's events that follow event number from, until the
+// stream ends.
+func (e *Engine) sendEvents(w http.ResponseWriter, r *http.Request, s *stream, from int) {
+	fault := e.addReader(s)
+	defer e.removeReader(s)
 	misrouted := strings.NewReplacer(s.id, otherRequestID)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
@@ -228,10 +229,10 @@
 	for {
 		e.mu.Lock()
 		events := s.events[min(from, len(s.events)):]
-		done, dead, changed := s.done, s.dead, s.changed
+		done, lost, changed := s.done, s.lost, s.changed
 		e.mu.Unlock()
 		for _, data := range events {
-			if sent >= fault.AfterEvents && e.strike(r, out, fault) {
+			if sent >= fault.AfterEvents && e.applyStreamFault(r, out, fault) {
 				return
 			}
 			if fault.MisrouteStreams > 0 && sent >= fault.AfterEvents {
@@ -246,7 +247,7 @@
 		if out.Flush() != nil || done {
 			return
 		}
-		if dead {
+		if lost {
 			abort(r)
 		}
 		select {
@@ -259,8 +260,9 @@
 	}
 }
 
-// strike breaks an exchange as its fault says, and says whether it is over.
-func (e *Engine) strike(r *http.Request, out *http.ResponseController, fault EngineFaults) bool {
+// applyStreamFault applies the exchange's fault and reports whether the
+// exchange is over.
+func (e *Engine) applyStreamFault(r *http.Request, out *http.ResponseController, fault EngineFaults) bool {
 	if fault.ResetStreams+fault.SilenceStreams+fault.TruncateStreams == 0 {
 		return false
 	}
@@ -275,15 +277,15 @@
 	return true
 }
 
-// answerWhole waits for the end of a generation and sends it in one answer.
-func (e *Engine) answerWhole(w http.ResponseWriter, r *http.Request, s *stream) {
-	fault := e.attach(s)
-	defer e.detach(s)
+// answerComplete waits for the end of a generation and sends it in one answer.
+func (e *Engine) answerComplete(w http.ResponseWriter, r *http.Request, s *stream) {
+	fault := e.addReader(s)
+	defer e.removeReader(s)
 	for {
 		e.mu.Lock()
-		done, dead, changed := s.done, s.dead, s.changed
+		done, lost, changed := s.done, s.lost, s.changed
 		e.mu.Unlock()
-		if dead {
+		if lost {
 			abort(r)
 		}
 		if done {
@@ -297,7 +299,7 @@
 			return
 		}
 	}
-	if e.strike(r, http.NewResponseController(w), fault) {
+	if e.applyStreamFault(r, http.NewResponseController(w), fault) {
 		return
 	}
 	id := s.id
@@ -306,13 +308,13 @@
 	}
 	w.Header().Set(requestIDHeader, id)
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = io.WriteString(w, strings.ReplaceAll(s.whole(), s.id, id))
+	_, _ = io.WriteString(w, strings.ReplaceAll(s.completeBody(), s.id, id))
 }
 
-// whole returns the body of an answer that is not streamed.
-func (s *stream) whole() string {
-	text := s.text.Text()
-	one := choice{FinishReason: &s.text.Finish}
+// completeBody returns the body of an answer that is not streamed.
+func (s *stream) completeBody() string {
+	text := s.output.Text()
+	one := choice{FinishReason: &s.output.Finish}
 	object := "text_completion"
 	if s.chat {
 		object = "chat.completion"
@@ -320,12 +322,12 @@
 	} else {
 		one.Text = &text
 	}
-	u := usage{PromptTokens: s.prompt, CompletionTokens: s.text.Tokens, TotalTokens: s.prompt + s.text.Tokens}
-	u.Details.CachedTokens = s.cached
+	u := usage{PromptTokens: s.promptTokens, CompletionTokens: s.output.Tokens, TotalTokens: s.promptTokens + s.output.Tokens}
+	u.Details.CachedTokens = s.cachedTokens
 	return s.encode(object, one, &u)
 }
 
-// serveResume sends the rest of a stream.
+// serveResume sends a stream's events after Last-Event-ID.
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request, id string) {
 	e.mu.Lock()
 	s := e.streams[id]
@@ -338,7 +340,7 @@
 		return
 	}
 	from, _ := strconv.Atoi(r.Header.Get(lastEventID))
-	e.follow(w, r, s, from)
+	e.sendEvents(w, r, s, from)
 }
 
 // serveCancel ends a generation early.
--- a/internal/standin/generation.go
+++ b/internal/standin/generation.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	bytesPerToken     = 4
-	shortestNatural   = 16
-	naturalSpread     = 240
-	defaultMaxTokens  = 64
-	finishStop        = "stop"
-	finishLength      = "length"
-	splitMixIncrement = 0x9e3779b97f4a7c15
+	bytesPerToken      = 4
+	minNaturalTokens   = 16
+	naturalTokensRange = 240
+	defaultMaxTokens   = 64
+	finishStop         = "stop"
+	finishLength       = "length"
+	splitMixIncrement  = 0x9e3779b97f4a7c15
 )
 
-var words = strings.Fields(`amber annealed blown bubble casting clay colour cooling crystal
+var vocabulary = strings.Fields(`amber annealed blown bubble casting clay colour cooling crystal
 deed document draft edge file filing flame form furnace gather glass heat hand hearing hour
 iron jack kiln lamp layer letter light melt mould name notary order pipe pontil record registry
 seal shape sheet signature stem stone studio surface table tool turn vessel wax witness work`)
 
 // Generation is the text that every stand-in engine generates for a request.
-// It follows from the model's name and the prompt alone, so that any reader can
-// tell a whole answer from a damaged one, and another engine can continue it.
+// Its tokens depend on the model's name and the prompt only, so that any reader
+// can tell a complete answer from a damaged one, and another engine can continue
+// it.
 type Generation struct {
 	// Tokens is the number of tokens.
 	Tokens int
-	// Finish is "stop", or "length" where the caller's limit cut it.
+	// Finish is "stop", or "length" if the caller's limit ended it.
 	Finish string
 
 	seed uint64
@@ -42,7 +43,7 @@
 	}
 	g := Generation{Tokens: maxTokens, Finish: finishLength}
 	g.seed = xxhash.Sum64String(model + "\x00" + prompt)
-	natural := shortestNatural + int(g.seed%naturalSpread)
+	natural := minNaturalTokens + int(g.seed%naturalTokensRange)
 	if !ignoreEOS && natural < maxTokens {
 		g.Tokens = natural
 		g.Finish = finishStop
@@ -56,10 +57,10 @@
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
 	x ^= x >> 31
-	return words[x%uint64(len(words))] + " "
+	return vocabulary[x%uint64(len(vocabulary))] + " "
 }
 
-// Text returns the whole text.
+// Text returns the complete text.
 func (g Generation) Text() string {
 	var b strings.Builder
 	for i := range g.Tokens {
@@ -69,7 +70,7 @@
 }
 
 // PromptTokens returns how many tokens the stand-in engines count for a
-// prompt: one for every four bytes begun.
+// prompt: one for every four bytes, rounded up.
 func PromptTokens(prompt string) int {
 	return (len(prompt) + bytesPerToken - 1) / bytesPerToken
 }
@@ -80,7 +81,7 @@
 	Content string `json:"content"`
 }
 
-// ChatPrompt returns the prompt that a chat stands for.
+// ChatPrompt returns the prompt of a chat: one line "ROLE: CONTENT" a message.
 func ChatPrompt(messages []Message) string {
 	var b strings.Builder
 	for _, m := range messages {
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -13,19 +13,19 @@
 const (
 	maxValueBytes     = 1 << 20
 	maxKVRequestBytes = 2 << 20
-	historyBytes      = 32 << 20
-	historyEvents     = 4096
+	maxHistoryBytes   = 32 << 20
+	maxHistoryEvents  = 4096
 )
 
 // KVOptions are the parameters of the key-value service.
 type KVOptions struct {
-	// WritesPerSecond limits transactions and lease calls that write. The
-	// default, 0, means no limit.
+	// WritesPerSecond limits transactions and lease calls. The default, 0,
+	// means no limit.
 	WritesPerSecond float64 `yaml:"writes_per_second"`
 	// ReadsPerSecond limits the other calls, a waiting watch included as one
 	// call a second. The default, 0, means no limit.
 	ReadsPerSecond float64 `yaml:"reads_per_second"`
-	// Latency is how long a call takes. The default is none.
+	// Latency is how long a call takes. The default is 0.
 	Latency time.Duration `yaml:"latency"`
 }
 
@@ -36,35 +36,37 @@
 	OutageHang  = "hang"
 )
 
-// KVFaults are the faults of the key-value service. A count says how many of
-// the next calls it hits.
+// KVFaults are the faults of the key-value service. A count is the number of
+// upcoming calls that the fault affects.
 type KVFaults struct {
 	// Outage is empty, "error" (503), "reset" (the connection is reset) or
-	// "hang" (no answer while it lasts). Waiting watches are ended by "error"
-	// and "reset" and left silent by "hang".
+	// "hang" (calls that arrive while it lasts get no answer). "error" and
+	// "reset" end the waiting watches; "hang" leaves them open and silent.
 	Outage string `json:"outage"`
 	// SlowMS delays every call before it takes effect.
 	SlowMS int64 `json:"slow_ms"`
 	// LateMS delays the answer of every call after it took effect.
 	LateMS int64 `json:"late_ms"`
-	// LoseRequests resets that many writes before they take effect.
+	// LoseRequests resets the connection of that many writes before they take
+	// effect.
 	LoseRequests int `json:"lose_requests"`
-	// LoseAnswers resets that many writes after they took effect.
+	// LoseAnswers resets the connection of that many writes after they took
+	// effect.
 	LoseAnswers int `json:"lose_answers"`
 	// HangAnswers leaves that many writes that took effect without an answer,
 	// on a connection that stays open.
 	HangAnswers int `json:"hang_answers"`
 	// KeyContains restricts the counted faults to writes of keys that contain
-	// the text.
+	// this text.
 	KeyContains string `json:"key_contains"`
-	// WatchSilent makes every waiting watch, and each that is opened while it
-	// is set, deliver nothing for good.
+	// WatchSilent stops every waiting watch, and each that is opened while it is
+	// set, from delivering changes. Clearing it does not revive them.
 	WatchSilent bool `json:"watch_silent"`
-	// ExpireLeases makes every lease lapse at once. It acts once.
+	// ExpireLeases expires every lease immediately. It acts once.
 	ExpireLeases bool `json:"expire_leases"`
 }
 
-// KVRecords is what the key-value service saw.
+// KVRecords holds what the key-value service recorded.
 type KVRecords struct {
 	// Revision is the store's revision.
 	Revision int64 `json:"revision"`
@@ -76,17 +78,17 @@
 	Conflicts int `json:"conflicts"`
 	// Writes counts the writes that took effect, per key.
 	Writes map[string]int `json:"writes"`
-	// WatchesOpen is the number of watches that wait now.
+	// WatchesOpen is the number of waiting watches.
 	WatchesOpen int `json:"watches_open"`
-	// WatchSeconds is the time that watches have waited in all. The platform
-	// counts a waiting watch as a call; this stand-in reads that as one call
-	// for each second that it waits.
+	// WatchSeconds is the total time in seconds that watches have waited. The
+	// platform counts a waiting watch as a call; this stand-in interprets that
+	// as one call for each second that the watch waits.
 	WatchSeconds float64 `json:"watch_seconds"`
-	// Keys gives the present keys with their revision, version and size.
+	// Keys describes each existing key.
 	Keys map[string]KVKey `json:"keys"`
 }
 
-// KVKey describes one key without its value.
+// KVKey describes one key without its value; Bytes is the value's size.
 type KVKey struct {
 	ModRevision int64 `json:"mod_revision"`
 	Version     int64 `json:"version"`
@@ -94,29 +96,29 @@
 	Lease       int64 `json:"lease"`
 }
 
-// KV is the stand-in of the key-value service: the part of the etcd v3 JSON
-// gateway that the brief's service offers. A transaction compares and writes
-// one key; anything wider is refused, so that no code can come to depend on it.
+// KV is the stand-in for the key-value service: the part of the etcd v3 JSON
+// gateway that the platform offers. A transaction compares and writes one key;
+// a wider one is refused, so that no code can depend on it.
 type KV struct {
 	options KVOptions
 	writes  *rate.Limiter
 	reads   *rate.Limiter
 
-	mu        sync.Mutex
-	closed    chan struct{}
-	faults    KVFaults
-	revision  int64
-	keys      map[string]*kvPair
-	history   []kvChange
-	histBytes int
-	compacted int64
-	leases    map[int64]*lease
-	nextLease int64
-	watches   map[*watch]struct{}
-	records   KVRecords
+	mu          sync.Mutex
+	closed      chan struct{}
+	faults      KVFaults
+	revision    int64
+	keys        map[string]*kvPair
+	history     []kvChange
+	historySize int
+	compacted   int64
+	leases      map[int64]*lease
+	nextLease   int64
+	watches     map[*watch]struct{}
+	records     KVRecords
 }
 
-// NewKV makes an empty key-value service.
+// NewKV returns an empty key-value service.
 func NewKV(o KVOptions) *KV {
 	k := &KV{
 		options:  o,
@@ -158,16 +160,17 @@
 	}
 	if f.ExpireLeases {
 		f.ExpireLeases = false
-		k.expireAll()
+		k.expireAllLeases()
 	}
 	k.faults = f
 	for w := range k.watches {
-		k.applyOutage(w)
+		k.applyOutageToWatch(w)
 	}
 }
 
-// applyOutage ends or silences a waiting watch as the faults in force say.
-func (k *KV) applyOutage(w *watch) {
+// applyOutageToWatch ends or silences a waiting watch according to the faults
+// in force.
+func (k *KV) applyOutageToWatch(w *watch) {
 	switch {
 	case k.faults.WatchSilent, k.faults.Outage == OutageHang:
 		w.silent = true
@@ -198,7 +201,7 @@
 	return r
 }
 
-// Close ends the waiting watches and the leases' timers.
+// Close ends the waiting watches and stops the timers of the leases.
 func (k *KV) Close() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -237,8 +240,8 @@
 	}
 }
 
-// admit counts the call, applies outage, rate limit and delay, and says
-// whether the call goes on.
+// admit counts the call, applies outage, rate limit and delay, and reports
+// whether the call is to be served.
 func (k *KV) admit(w http.ResponseWriter, r *http.Request) bool {
 	limit := k.reads
 	if r.URL.Path == "/v3/kv/txn" || strings.Contains(r.URL.Path, "lease/") {
@@ -251,23 +254,24 @@
 		k.records.Refused++
 	}
 	k.mu.Unlock()
-	if !k.passOutage(w, r) {
+	if !k.checkOutage(w, r) {
 		return false
 	}
 	if !allowed {
-		errTooMany.write(w)
+		errTooManyRequests.write(w)
 		return false
 	}
 	k.mu.Lock()
 	slow := k.options.Latency + time.Duration(k.faults.SlowMS)*time.Millisecond
 	k.mu.Unlock()
 	pause(r, slow)
-	return k.passOutage(w, r)
+	return k.checkOutage(w, r)
 }
 
-// passOutage says whether the service is up. A call that meets an outage that
-// hangs gets no answer, ever, as when the machines behind it are cut off.
-func (k *KV) passOutage(w http.ResponseWriter, r *http.Request) bool {
+// checkOutage reports whether the service is up; if not, it fails the call as
+// the outage requires. A call during a "hang" never gets an answer, as if the
+// machines behind the service were cut off.
+func (k *KV) checkOutage(w http.ResponseWriter, r *http.Request) bool {
 	k.mu.Lock()
 	outage := k.faults.Outage
 	k.mu.Unlock()
@@ -288,15 +292,15 @@
 	return false
 }
 
-// answer is what a call returns: a body, or an error, and the key it wrote.
+// answer is the result of a call: a body or an error, and the key it wrote.
 type answer struct {
-	body  any
-	err   *gatewayError
-	wrote string
+	body       any
+	err        *gatewayError
+	changedKey string
 }
 
-// serve decodes a call, applies it and answers. A write may be hit by one of
-// the counted faults.
+// serve decodes a call, applies it and answers. The counted faults apply to
+// writes.
 func serve[T any](k *KV, w http.ResponseWriter, r *http.Request, body *json.Decoder, apply func(T) answer) {
 	var request T
 	if err := body.Decode(&request); err != nil {
@@ -304,7 +308,7 @@
 		return
 	}
 	key := writtenKey(request)
-	if key != "" && k.take(&k.faults.LoseRequests, key) {
+	if key != "" && k.consumeFault(&k.faults.LoseRequests, key) {
 		abort(r)
 	}
 	k.mu.Lock()
@@ -312,10 +316,10 @@
 	late := time.Duration(k.faults.LateMS) * time.Millisecond
 	k.mu.Unlock()
 	pause(r, late)
-	if a.wrote != "" && k.take(&k.faults.LoseAnswers, a.wrote) {
+	if a.changedKey != "" && k.consumeFault(&k.faults.LoseAnswers, a.changedKey) {
 		abort(r)
 	}
-	if a.wrote != "" && k.take(&k.faults.HangAnswers, a.wrote) {
+	if a.changedKey != "" && k.consumeFault(&k.faults.HangAnswers, a.changedKey) {
 		silence(r)
 		<-r.Context().Done()
 		return
@@ -327,7 +331,7 @@
 	writeJSON(w, http.StatusOK, a.body)
 }
 
-// writtenKey returns the key that a transaction means to write, if any.
+// writtenKey returns the key that a transaction requests to write, or "".
 func writtenKey(request any) string {
 	t, ok := request.(txnRequest)
 	if !ok || len(t.Success) == 0 || t.Success[0].RequestPut == nil {
@@ -336,8 +340,9 @@
 	return string(t.Success[0].RequestPut.Key)
 }
 
-// take lowers a counted fault that applies to the key.
-func (k *KV) take(count *int, key string) bool {
+// consumeFault decrements the count of a fault and reports whether the fault
+// applies to a write of the key.
+func (k *KV) consumeFault(count *int, key string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if *count <= 0 || !strings.Contains(key, k.faults.KeyContains) {
--- a/internal/standin/kv_store.go
+++ b/internal/standin/kv_store.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// kvChange is one past write or deletion, kept for watches that begin late.
+// kvChange is one past write or deletion, kept for watches that start at an
+// earlier revision.
 type kvChange struct {
 	key      string
 	revision int64
 	event    watchEvent
 }
 
-// lease holds the keys that go when it lapses.
+// lease holds the keys that are deleted when it expires.
 type lease struct {
 	id    int64
 	ttl   time.Duration
@@ -39,7 +40,7 @@
 	}
 }
 
-// watchBuffer is how many changes a slow watch may be behind before it is
+// watchBuffer is the number of undelivered changes above which a slow watch is
 // ended, as the service would end it.
 const watchBuffer = 1024
 
@@ -65,29 +66,29 @@
 }
 
 // txn applies a transaction of at most one comparison and one put on the same
-// key, with a read of that key if the comparison fails.
+// key, with an optional read of that key if the comparison fails.
 func (k *KV) txn(t txnRequest) answer {
-	put, ok := onePut(t)
+	put, ok := singlePut(t)
 	if !ok {
 		return answer{err: errInvalid}
 	}
 	if len(put.Value) > maxValueBytes {
 		return answer{err: errTooLarge}
 	}
-	if len(t.Compare) == 1 && !k.holds(t.Compare[0]) {
+	if len(t.Compare) == 1 && !k.compareHolds(t.Compare[0]) {
 		k.records.Conflicts++
-		return k.failed(t, put.Key)
+		return k.conflictAnswer(t, put.Key)
 	}
 	if put.Lease != 0 && k.leases[int64(put.Lease)] == nil {
-		return answer{err: errLeaseMissing}
+		return answer{err: errLeaseNotFound}
 	}
 	k.put(put)
 	body := txnResponse{Header: k.header(), Succeeded: true}
 	body.Responses = []responseOp{{ResponsePut: &putResponse{Header: k.header()}}}
-	return answer{body: body, wrote: string(put.Key)}
+	return answer{body: body, changedKey: string(put.Key)}
 }
 
-func (k *KV) failed(t txnRequest, key []byte) answer {
+func (k *KV) conflictAnswer(t txnRequest, key []byte) answer {
 	body := txnResponse{Header: k.header()}
 	if len(t.Failure) == 1 {
 		body.Responses = []responseOp{{ResponseRange: k.find(key)}}
@@ -95,8 +96,8 @@
 	return answer{body: body}
 }
 
-// onePut returns the put of a transaction that stays on one key.
-func onePut(t txnRequest) (*putRequest, bool) {
+// singlePut returns the put of a transaction that touches one key only.
+func singlePut(t txnRequest) (*putRequest, bool) {
 	if len(t.Compare) > 1 || len(t.Success) != 1 || len(t.Failure) > 1 {
 		return nil, false
 	}
@@ -116,7 +117,7 @@
 	return put, true
 }
 
-func (k *KV) holds(c compare) bool {
+func (k *KV) compareHolds(c compare) bool {
 	var p kvPair
 	if found, ok := k.keys[string(c.Key)]; ok {
 		p = *found
@@ -152,7 +153,7 @@
 		p = &kvPair{Key: r.Key, CreateRevision: int64String(k.revision)}
 		k.keys[name] = p
 	}
-	k.detach(name, p)
+	k.detachLease(name, p)
 	p.ModRevision = int64String(k.revision)
 	p.Version++
 	p.Value = r.Value
@@ -161,21 +162,22 @@
 		l.keys[name] = struct{}{}
 	}
 	k.records.Writes[name]++
-	k.deliver(name, watchEvent{Kv: *p})
+	k.publish(name, watchEvent{Kv: *p})
 }
 
-func (k *KV) detach(name string, p *kvPair) {
+func (k *KV) detachLease(name string, p *kvPair) {
 	if l := k.leases[int64(p.Lease)]; l != nil {
 		delete(l.keys, name)
 	}
 }
 
-// deliver appends a change to the history and hands it to the waiting watches.
-func (k *KV) deliver(name string, e watchEvent) {
+// publish appends a change to the history and passes it to the waiting watches
+// of the key. A watch whose buffer is full is ended.
+func (k *KV) publish(name string, e watchEvent) {
 	k.history = append(k.history, kvChange{key: name, revision: k.revision, event: e})
-	k.histBytes += len(e.Kv.Value)
-	for len(k.history) > historyEvents || k.histBytes > historyBytes {
-		k.histBytes -= len(k.history[0].event.Kv.Value)
+	k.historySize += len(e.Kv.Value)
+	for len(k.history) > maxHistoryEvents || k.historySize > maxHistoryBytes {
+		k.historySize -= len(k.history[0].event.Kv.Value)
 		k.compacted = k.history[0].revision
 		k.history = k.history[1:]
 	}
@@ -198,21 +200,21 @@
 		id = 7_000_000 + k.nextLease
 	}
 	l := &lease{id: id, ttl: time.Duration(max(r.TTL, 1)) * time.Second, keys: make(map[string]struct{})}
-	l.timer = time.AfterFunc(l.ttl, func() { k.lapse(l) })
+	l.timer = time.AfterFunc(l.ttl, func() { k.expire(l) })
 	k.leases[id] = l
 	return answer{body: leaseResponse{Header: k.header(), ID: int64String(id), TTL: max(r.TTL, 1)}}
 }
 
-func (k *KV) lapse(l *lease) {
+func (k *KV) expire(l *lease) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.leases[l.id] == l {
-		k.drop(l)
+		k.deleteLease(l)
 	}
 }
 
-// drop ends a lease and deletes its keys, at one revision.
-func (k *KV) drop(l *lease) {
+// deleteLease deletes a lease and its keys, all keys at one revision.
+func (k *KV) deleteLease(l *lease) {
 	l.timer.Stop()
 	delete(k.leases, l.id)
 	if len(l.keys) > 0 {
@@ -220,19 +222,19 @@
 	}
 	for name := range l.keys {
 		delete(k.keys, name)
-		gone := kvPair{Key: []byte(name), ModRevision: int64String(k.revision)}
-		k.deliver(name, watchEvent{Type: "DELETE", Kv: gone})
+		deleted := kvPair{Key: []byte(name), ModRevision: int64String(k.revision)}
+		k.publish(name, watchEvent{Type: "DELETE", Kv: deleted})
 	}
 }
 
-func (k *KV) expireAll() {
+func (k *KV) expireAllLeases() {
 	for _, l := range k.leases {
-		k.drop(l)
+		k.deleteLease(l)
 	}
 }
 
-// keepAlive renews a lease. The gateway streams this answer, and says of a
-// lease that has lapsed only that its time to live is zero.
+// keepAlive renews a lease. The gateway streams this answer and reports an
+// expired lease only by a time to live of zero.
 func (k *KV) keepAlive(r leaseRequest) answer {
 	body := leaseResponse{Header: k.header(), ID: r.ID}
 	if l := k.leases[int64(r.ID)]; l != nil {
@@ -245,13 +247,13 @@
 func (k *KV) revoke(r leaseRequest) answer {
 	l := k.leases[int64(r.ID)]
 	if l == nil {
-		return answer{err: errLeaseMissing}
+		return answer{err: errLeaseNotFound}
 	}
-	k.drop(l)
+	k.deleteLease(l)
 	return answer{body: leaseResponse{Header: k.header()}}
 }
 
-// serveWatch answers a watch: a line that says it was created, the changes
+// serveWatch answers a watch: a line that confirms its creation, the changes
 // since its start revision, then each change as it happens.
 func (k *KV) serveWatch(w http.ResponseWriter, r *http.Request, body *json.Decoder) {
 	var request watchRequest
@@ -267,11 +269,11 @@
 	k.mu.Lock()
 	first := watchResponse{Header: k.header(), Created: true}
 	start := int64(created.StartRevision)
-	past, compacted := k.since(waiting.key, start)
+	past, compacted := k.changesSince(waiting.key, start)
 	waiting.silent = k.faults.WatchSilent
 	k.watches[waiting] = struct{}{}
 	k.mu.Unlock()
-	defer k.forget(waiting)
+	defer k.removeWatch(waiting)
 	out := json.NewEncoder(w)
 	send := func(a watchResponse) bool {
 		err := out.Encode(streamItem{Result: a})
@@ -288,10 +290,10 @@
 	if len(past) > 0 && !waiting.silent && !send(watchResponse{Header: first.Header, Events: past}) {
 		return
 	}
-	k.follow(r, waiting, send)
+	k.streamChanges(r, waiting, send)
 }
 
-func (k *KV) follow(r *http.Request, waiting *watch, send func(watchResponse) bool) {
+func (k *KV) streamChanges(r *http.Request, waiting *watch, send func(watchResponse) bool) {
 	for {
 		select {
 		case e := <-waiting.events:
@@ -309,16 +311,17 @@
 	}
 }
 
-func (k *KV) forget(w *watch) {
+func (k *KV) removeWatch(w *watch) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.watches, w)
 	k.records.WatchSeconds += time.Since(w.opened).Seconds()
 }
 
-// since lists the changes of a key from a revision on, or the revision up to
-// which they are no longer known.
-func (k *KV) since(key string, start int64) ([]watchEvent, int64) {
+// changesSince lists the changes of a key from a revision on. If the history no
+// longer holds that revision, it returns the first revision after the discarded
+// part of the history.
+func (k *KV) changesSince(key string, start int64) ([]watchEvent, int64) {
 	if start <= 0 {
 		return nil, 0
 	}
--- a/internal/standin/kv_wire.go
+++ b/internal/standin/kv_wire.go
@@ -6,16 +6,16 @@
 	"strconv"
 )
 
-// int64String is a 64-bit number of the gateway: a string when written, a
-// string or a number when read.
+// int64String is a 64-bit number of the gateway's JSON: encoded as a string,
+// decoded from a string or a number.
 type int64String int64
 
-// MarshalJSON writes the number as a string.
+// MarshalJSON encodes the number as a string.
 func (n int64String) MarshalJSON() ([]byte, error) {
 	return []byte(strconv.Quote(strconv.FormatInt(int64(n), 10))), nil
 }
 
-// UnmarshalJSON reads a string or a number.
+// UnmarshalJSON decodes a string or a number.
 func (n *int64String) UnmarshalJSON(data []byte) error {
 	text := string(data)
 	if unquoted, err := strconv.Unquote(text); err == nil {
@@ -149,13 +149,14 @@
 	return &gatewayError{status: status, Error: message, Code: code, Message: message}
 }
 
-// The errors that the stand-in answers with. The numbers are gRPC codes.
+// The errors that the stand-in answers with. The second argument is the gRPC
+// code.
 var (
-	errInvalid      = newGatewayError(http.StatusBadRequest, 3, "etcdserver: request is not offered by this service")
-	errTooLarge     = newGatewayError(http.StatusBadRequest, 3, "etcdserver: request is too large")
-	errLeaseMissing = newGatewayError(http.StatusNotFound, 5, "etcdserver: requested lease not found")
-	errTooMany      = newGatewayError(http.StatusTooManyRequests, 8, "etcdserver: too many requests")
-	errUnavailable  = newGatewayError(http.StatusServiceUnavailable, 14, "etcdserver: no leader")
+	errInvalid         = newGatewayError(http.StatusBadRequest, 3, "etcdserver: request is not offered by this service")
+	errTooLarge        = newGatewayError(http.StatusBadRequest, 3, "etcdserver: request is too large")
+	errLeaseNotFound   = newGatewayError(http.StatusNotFound, 5, "etcdserver: requested lease not found")
+	errTooManyRequests = newGatewayError(http.StatusTooManyRequests, 8, "etcdserver: too many requests")
+	errUnavailable     = newGatewayError(http.StatusServiceUnavailable, 14, "etcdserver: no leader")
 )
 
 func (e *gatewayError) write(w http.ResponseWriter) { writeJSON(w, e.status, e) }
--- a/internal/standin/prefixcache.go
+++ b/internal/standin/prefixcache.go
@@ -6,40 +6,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// blockTokens is how many tokens of a prompt are cached as one.
+// blockTokens is how many tokens of a prompt form one cached block.
 const blockTokens = 16
 
-// prefixCache remembers the leading blocks of prompts, the least recently used
-// ones going first when its memory is full.
+// prefixCache holds the hashes of prompt prefixes, in whole blocks. It evicts
+// the least recently used block when it holds capacity blocks.
 type prefixCache struct {
 	capacity int
-	order    *list.List
+	lru      *list.List
 	blocks   map[uint64]*list.Element
 }
 
 func newPrefixCache(capacity int) *prefixCache {
-	return &prefixCache{capacity: capacity, order: list.New(), blocks: make(map[uint64]*list.Element)}
+	return &prefixCache{capacity: capacity, lru: list.New(), blocks: make(map[uint64]*list.Element)}
 }
 
-// use returns how many leading tokens of a prompt are cached, and caches all
-// its whole blocks.
-func (c *prefixCache) use(model, prompt string) int {
+// matchAndInsert returns how many leading tokens of a prompt are cached, and
+// caches all its whole blocks.
+func (c *prefixCache) matchAndInsert(model, prompt string) int {
 	const blockBytes = blockTokens * bytesPerToken
 	cached := 0
-	unbroken := true
+	contiguous := true
 	d := xxhash.New()
 	_, _ = d.WriteString(model + "\x00")
 	for end := blockBytes; end <= len(prompt); end += blockBytes {
 		_, _ = d.WriteString(prompt[end-blockBytes : end])
 		hash := d.Sum64()
 		found, ok := c.blocks[hash]
-		unbroken = unbroken && ok
+		contiguous = contiguous && ok
 		if ok {
-			c.order.MoveToFront(found)
+			c.lru.MoveToFront(found)
 		} else {
 			c.insert(hash)
 		}
-		if unbroken {
+		if contiguous {
 			cached += blockTokens
 		}
 	}
@@ -51,9 +51,9 @@
 		return
 	}
 	for len(c.blocks) >= c.capacity {
-		last := c.order.Back()
+		last := c.lru.Back()
 		delete(c.blocks, last.Value.(uint64))
-		c.order.Remove(last)
+		c.lru.Remove(last)
 	}
-	c.blocks[hash] = c.order.PushFront(hash)
+	c.blocks[hash] = c.lru.PushFront(hash)
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -16,7 +16,7 @@
 	readHeaderTimeout = 10 * time.Second
 )
 
-// Standin is one stand-in: it answers as the outside system would and obeys
+// Standin is one stand-in: it answers as the external system would and applies
 // the faults that are set.
 type Standin interface {
 	http.Handler
@@ -25,29 +25,30 @@
 	// SetFaults puts faults in force; the argument has the type that Faults
 	// returned. A nil argument clears every fault.
 	SetFaults(any)
-	// Records returns what the stand-in saw, as a value for JSON.
+	// Records returns what the stand-in recorded, as a value that encodes to
+	// JSON.
 	Records() any
-	// Close ends what the stand-in runs in the background.
+	// Close stops the background work of the stand-in.
 	Close()
 }
 
-// restarter is a stand-in that loses state when its process dies.
+// restarter is a stand-in that loses state when its process restarts.
 type restarter interface {
 	restart()
 }
 
-// ServerFaults are the faults that every served stand-in has.
+// ServerFaults are the faults that every stand-in supports.
 type ServerFaults struct {
-	// SilenceConnections makes every open connection silent for good. It acts
-	// once; connections that are made later work.
+	// SilenceConnections makes every open connection silent until it is closed.
+	// It acts once; later connections work.
 	SilenceConnections bool `json:"silence_connections"`
 	// ResetConnections resets every open connection. It acts once.
 	ResetConnections bool `json:"reset_connections"`
 	// Crashed resets every open connection and every new one until it is
-	// cleared, as if no process listened. What the stand-in holds in memory
-	// is lost.
+	// cleared, as if no process listened. The stand-in loses its state in
+	// memory.
 	Crashed bool `json:"crashed"`
-	// Restart loses what the stand-in holds in memory and resets every open
+	// Restart makes the stand-in lose its state in memory and resets every open
 	// connection. It acts once.
 	Restart bool `json:"restart"`
 }
@@ -87,14 +88,14 @@
 // URL returns "http://IP:port".
 func (s *Server) URL() string { return "http://" + s.Address() }
 
-// Close ends the listener, every connection and the stand-in.
+// Close closes the listener, every connection and the stand-in.
 func (s *Server) Close() {
 	_ = s.http.Close()
-	s.listener.endAll()
+	s.listener.closeAll()
 	s.standin.Close()
 }
 
-// Inject acts on the faults of the server itself.
+// Inject puts the faults of the server itself in force.
 func (s *Server) Inject(f ServerFaults) {
 	if f.SilenceConnections {
 		s.listener.silenceAll()
@@ -111,7 +112,7 @@
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	c := connOf(r)
+	c := requestConn(r)
 	control := strings.HasPrefix(r.URL.Path, controlPrefix)
 	if c != nil {
 		c.control.Store(control)
@@ -143,9 +144,9 @@
 	}
 }
 
-// postFaults merges the body into the faults in force: a field that the body
-// does not name stays as it is. An unknown field is refused, so that a
-// misspelt fault cannot pass for one that the system withstood.
+// postFaults merges the body into the faults in force: fields that the body
+// omits keep their values. An unknown field is refused, so that a test with a
+// misspelt fault cannot pass because the fault was never injected.
 func (s *Server) postFaults(w http.ResponseWriter, r *http.Request) {
 	var body map[string]json.RawMessage
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
@@ -155,11 +156,11 @@
 	server := ServerFaults{Crashed: s.crashed.Load()}
 	faults := s.standin.Faults()
 	for name, value := range body {
-		one, _ := json.Marshal(map[string]json.RawMessage{name: value})
-		if decodeStrict(one, &server) == nil {
+		field, _ := json.Marshal(map[string]json.RawMessage{name: value})
+		if decodeStrict(field, &server) == nil {
 			continue
 		}
-		if err := decodeStrict(one, faults); err != nil {
+		if err := decodeStrict(field, faults); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -21,25 +21,30 @@
 type ServiceOptions struct {
 	// Name is echoed in answers. The default is "service".
 	Name string `yaml:"name"`
-	// Latency is how long a call takes. The default is none.
+	// Latency is how long a call takes. The default is 0.
 	Latency time.Duration `yaml:"latency"`
 }
 
-// ServiceFaults are the faults of a plain service. A count says how many of
-// the next calls it hits; each call is hit by one counted fault at most.
+// ServiceFaults are the faults of a plain service. A count is the number of
+// upcoming calls that the fault affects; at most one counted fault affects a
+// call.
 type ServiceFaults struct {
-	// CloseBeforeRun resets that many calls before they are executed.
+	// CloseBeforeRun resets the connection of that many calls without executing
+	// them.
 	CloseBeforeRun int `json:"close_before_run"`
 	// CloseAfterRun executes that many calls and resets the connection
 	// without an answer.
 	CloseAfterRun int `json:"close_after_run"`
-	// SilentBeforeRun makes the connection silent without executing.
+	// SilentBeforeRun makes the connection of that many calls silent without
+	// executing them.
 	SilentBeforeRun int `json:"silent_before_run"`
-	// SilentAfterRun executes that many calls; the connection is silent.
+	// SilentAfterRun executes that many calls and makes the connection silent.
 	SilentAfterRun int `json:"silent_after_run"`
-	// Truncate executes that many calls and breaks the answer in the middle.
+	// Truncate executes that many calls and resets the connection in the middle
+	// of the answer.
 	Truncate int `json:"truncate"`
-	// Misrouted answers that many calls with another call's request ID and body.
+	// Misrouted answers that many calls with another call's request ID and body
+	// digest.
 	Misrouted int `json:"misrouted"`
 	// ServerErrors answers that many calls with status 500 after execution.
 	ServerErrors int `json:"server_errors"`
@@ -49,7 +54,7 @@
 	LateMS int64 `json:"late_ms"`
 }
 
-// ServiceCall is one execution, or one call that was lost before it.
+// ServiceCall is one call, which was executed or lost before its execution.
 type ServiceCall struct {
 	Time       time.Time   `json:"time"`
 	RequestID  string      `json:"request_id"`
@@ -60,9 +65,9 @@
 	Executed   bool        `json:"executed"`
 }
 
-// ServiceRecords is what a plain service saw.
+// ServiceRecords holds what a plain service recorded.
 type ServiceRecords struct {
-	// Received counts the calls whose headers arrived.
+	// Received counts the calls whose body was read without an error.
 	Received int `json:"received"`
 	// Executed counts executions.
 	Executed int `json:"executed"`
@@ -72,7 +77,7 @@
 	ByBody map[string]int `json:"by_body"`
 	// MostPerBody is the largest count of ByBody.
 	MostPerBody int `json:"most_per_body"`
-	// Calls lists the calls, up to 50,000.
+	// Calls lists the first 50,000 calls.
 	Calls []ServiceCall `json:"calls"`
 }
 
@@ -86,8 +91,8 @@
 	Execution  int    `json:"execution"`
 }
 
-// Service is the stand-in of a plain service: it executes each call that
-// reaches it, however often, and counts.
+// Service is the stand-in for a plain service: it executes every call that it
+// receives, repeated ones included, and counts executions.
 type Service struct {
 	options ServiceOptions
 
@@ -96,7 +101,7 @@
 	records ServiceRecords
 }
 
-// NewService makes a plain service.
+// NewService returns a plain service.
 func NewService(o ServiceOptions) *Service {
 	if o.Name == "" {
 		o.Name = defaultServiceName
@@ -145,10 +150,10 @@
 	if err != nil {
 		return
 	}
-	fault := s.takeFault()
+	fault := s.consumeFault()
 	pause(r, time.Duration(fault.SlowMS)*time.Millisecond+s.options.Latency)
 	sum := sha256.Sum256(body)
-	answer := s.run(r, hex.EncodeToString(sum[:]), fault.CloseBeforeRun+fault.SilentBeforeRun == 0)
+	answer := s.recordCall(r, hex.EncodeToString(sum[:]), fault.CloseBeforeRun+fault.SilentBeforeRun == 0)
 	pause(r, time.Duration(fault.LateMS)*time.Millisecond)
 	switch {
 	case fault.CloseBeforeRun+fault.CloseAfterRun > 0:
@@ -178,32 +183,32 @@
 	abort(r)
 }
 
-// takeFault returns the faults that hit this call: the delays, and at most one
-// counted fault, whose count it lowers.
-func (s *Service) takeFault() ServiceFaults {
+// consumeFault returns the faults that apply to this call: the delays, and at
+// most one counted fault, whose count it decrements.
+func (s *Service) consumeFault() ServiceFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.records.Received++
 	hit := ServiceFaults{SlowMS: s.faults.SlowMS, LateMS: s.faults.LateMS}
-	from := []*int{
+	counters := []*int{
 		&s.faults.CloseBeforeRun, &s.faults.CloseAfterRun, &s.faults.SilentBeforeRun,
 		&s.faults.SilentAfterRun, &s.faults.Truncate, &s.faults.Misrouted, &s.faults.ServerErrors,
 	}
-	into := []*int{
+	hits := []*int{
 		&hit.CloseBeforeRun, &hit.CloseAfterRun, &hit.SilentBeforeRun,
 		&hit.SilentAfterRun, &hit.Truncate, &hit.Misrouted, &hit.ServerErrors,
 	}
-	for i := range from {
-		if *from[i] > 0 {
-			*from[i]--
-			*into[i] = 1
+	for i := range counters {
+		if *counters[i] > 0 {
+			*counters[i]--
+			*hits[i] = 1
 			return hit
 		}
 	}
 	return hit
 }
 
-func (s *Service) run(r *http.Request, digest string, execute bool) ServiceAnswer {
+func (s *Service) recordCall(r *http.Request, digest string, execute bool) ServiceAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := r.Header.Get(requestIDHeader)
@@ -226,7 +231,7 @@
 	}
 }
 
-// pause waits, or less if the request ends.
+// pause waits for d, or until the request ends if that is earlier.
 func pause(r *http.Request, d time.Duration) {
 	if d <= 0 {
 		return
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -39,7 +39,7 @@
 	return e, serveTest(t, e)
 }
 
-func storeOf(t *testing.T, srv *Server) *kv.HTTP {
+func newStore(t *testing.T, srv *Server) *kv.HTTP {
 	t.Helper()
 	store, err := kv.NewHTTP(kv.Options{URLs: []string{srv.URL()}, CallTimeout: time.Second})
 	require.NoError(t, err)
@@ -72,10 +72,11 @@
 	return engine.Request{BaseURL: srv.URL(), Path: "/v1/completions", RequestID: id, Body: body}
 }
 
-// The client's compare-and-swap, lease and watch meet the gateway as it is
-// published: a wrong word on the wire would make every write look refused.
-func TestKVSpeaksToTheClient(t *testing.T) {
-	store := storeOf(t, serveTest(t, NewKV(KVOptions{})))
+// The client's compare-and-swap, lease and watch calls work against the
+// gateway's published format. A wrong name on the wire would make every write
+// look refused.
+func TestKVServesClient(t *testing.T) {
+	store := newStore(t, serveTest(t, NewKV(KVOptions{})))
 	ctx := t.Context()
 	_, err := store.Get(ctx, "/a")
 	require.ErrorIs(t, err, kv.ErrNotFound)
@@ -104,11 +105,11 @@
 	require.ErrorIs(t, store.KeepAlive(ctx, lease), kv.ErrLeaseGone)
 }
 
-// The answer to a write is lost after the write took effect. Whoever took that
-// for a failure would write again and meet its own value.
-func TestKVLosesAnAnswerAfterTheEffect(t *testing.T) {
+// The answer to a write is lost after the write took effect. A client that
+// treated this as a failure would write again and conflict with its own value.
+func TestKVLosesAnswerAfterWrite(t *testing.T) {
 	srv := serveTest(t, NewKV(KVOptions{}))
-	store := storeOf(t, srv)
+	store := newStore(t, srv)
 	srv.standin.SetFaults(&KVFaults{LoseAnswers: 1, KeyContains: "claims"})
 	plain, err := store.CompareAndSwap(t.Context(), "/other", kv.RevisionAbsent, []byte("x"), kv.NoLease)
 	require.NoError(t, err)
@@ -121,38 +122,39 @@
 	require.Equal(t, "x", string(entry.Value))
 }
 
-// A watch is open but delivers nothing any more, while plain reads show the
-// change: only whoever also reads notices.
-func TestKVWatchFallsSilent(t *testing.T) {
+// A watch stays open but stops delivering, while new watches work. A client can
+// notice the missed changes only by reading the key as well.
+func TestKVSilentWatchDeliversNothing(t *testing.T) {
 	srv := serveTest(t, NewKV(KVOptions{}))
-	store := storeOf(t, srv)
+	store := newStore(t, srv)
 	entries, err := store.Watch(t.Context(), "/a", 0)
 	require.NoError(t, err)
 	srv.standin.SetFaults(&KVFaults{WatchSilent: true})
 	srv.standin.SetFaults(nil)
-	fresh, err := store.Watch(t.Context(), "/a", 0)
+	newWatch, err := store.Watch(t.Context(), "/a", 0)
 	require.NoError(t, err)
 	_, err = store.CompareAndSwap(t.Context(), "/a", kv.RevisionAbsent, []byte("x"), kv.NoLease)
 	require.NoError(t, err)
-	require.Equal(t, "x", string((<-fresh).Value))
+	require.Equal(t, "x", string((<-newWatch).Value))
 	require.Empty(t, entries)
 }
 
-// A transaction that touches two keys is refused: the platform does not offer
+// A transaction that touches two keys is refused: the platform does not support
 // it, and code that used it would fail only in production.
-func TestKVRefusesWiderTransactions(t *testing.T) {
+func TestKVRefusesMultiKeyTransactions(t *testing.T) {
 	two := []requestOp{{RequestPut: &putRequest{Key: []byte("a")}}, {RequestPut: &putRequest{Key: []byte("b")}}}
-	_, ok := onePut(txnRequest{Success: two})
+	_, ok := singlePut(txnRequest{Success: two})
 	require.False(t, ok)
-	_, ok = onePut(txnRequest{Compare: []compare{{Key: []byte("b")}}, Success: two[:1]})
+	_, ok = singlePut(txnRequest{Compare: []compare{{Key: []byte("b")}}, Success: two[:1]})
 	require.False(t, ok)
 }
 
-// Leases end, calls are counted and those over the rate are refused.
-func TestKVLimitsAndLapses(t *testing.T) {
+// Calls over the rate limit are refused and counted, and ExpireLeases ends all
+// leases.
+func TestKVRateLimitAndLeaseExpiry(t *testing.T) {
 	k := NewKV(KVOptions{WritesPerSecond: 1})
 	srv := serveTest(t, k)
-	store := storeOf(t, srv)
+	store := newStore(t, srv)
 	lease, err := store.Grant(t.Context(), time.Minute)
 	require.NoError(t, err)
 	require.Error(t, store.KeepAlive(t.Context(), lease))
@@ -162,8 +164,9 @@
 	require.Empty(t, k.leases)
 }
 
-// A stream that arrives whole has the text that the prompt stands for.
-func TestEngineStreamIsWhole(t *testing.T) {
+// A stream that arrives completely has the text that Generate returns for the
+// prompt.
+func TestEngineStreamIsComplete(t *testing.T) {
 	_, srv := fastEngine(t, nil)
 	client := engine.NewClient(engine.ClientOptions{})
 	s, err := client.Complete(t.Context(), completion(srv, "r1", 40))
@@ -174,9 +177,9 @@
 	require.Equal(t, Generate("m", "draft the deed", 40, true).Text(), text)
 }
 
-// The connection breaks, in one of several ways, after five events. What came
-// so far must not pass for the whole, and the rest can be had on a new
-// connection without a gap.
+// The connection breaks, in one of several ways, after five events. The client
+// must report an error for the incomplete stream, and resuming on a new
+// connection must yield the rest without a gap or a second execution.
 func TestEngineStreamBreaksAndResumes(t *testing.T) {
 	for name, fault := range map[string]EngineFaults{
 		"reset":     {ResetStreams: 1, AfterEvents: 5},
@@ -205,8 +208,8 @@
 	}
 }
 
-// Every open connection goes silent while new ones work: a read on the old one
-// brings nothing, not even an end.
+// Every open connection becomes silent while new ones work: a read on the old
+// one returns no data and no end of file.
 func TestServerSilencesOpenConnections(t *testing.T) {
 	e, srv := fastEngine(t, func(o *EngineOptions) { o.TimeScale = 1 })
 	client := engine.NewClient(engine.ClientOptions{IdleLimit: 300 * time.Millisecond})
@@ -226,21 +229,21 @@
 	require.Equal(t, 1, e.Records().(EngineRecords).Resumes)
 }
 
-// The engine restarts with empty memory: it has a new incarnation, knows none
-// of its orders and serves nothing until it is told to load again.
-func TestEngineRestartForgets(t *testing.T) {
+// A restarted engine has a new incarnation, empty memory and no record of its
+// earlier orders. It serves nothing until it receives a new load order.
+func TestEngineRestartLosesState(t *testing.T) {
 	e, srv := fastEngine(t, nil)
-	before := e.seenReport()
+	before := e.visibleReport()
 	srv.Inject(ServerFaults{Restart: true})
-	after := e.seenReport()
+	after := e.visibleReport()
 	require.NotEqual(t, before.Incarnation, after.Incarnation)
 	require.Empty(t, after.Resident)
 	require.Zero(t, after.MemoryUsed)
 }
 
-// An order is sent twice, another one comes from a leader that has been
-// replaced, and a third would not fit. The first counts once, the second is
-// refused, the third is on record as a breach.
+// A repeated order takes effect once, an order with the fencing token of a
+// replaced leader is refused, and a load that exceeds the memory limit is
+// recorded as an overcommit.
 func TestEngineOrders(t *testing.T) {
 	e, _ := fastEngine(t, nil)
 	item := engine.Item{Model: "m", Adapter: "a", Version: "v1"}
@@ -260,17 +263,18 @@
 	require.Equal(t, engine.OrderDone, e.apply(unload).State)
 }
 
-// A prompt whose start the engine has seen is read faster than a new one.
+// A prompt whose leading blocks are cached for the same model has these tokens
+// counted as cached, which shortens its prefill.
 func TestPrefixCache(t *testing.T) {
 	c := newPrefixCache(100)
 	manual := strings.Repeat("manual page ", 200)
-	require.Zero(t, c.use("m", manual))
-	require.Equal(t, len(manual)/64*16, c.use("m", manual+"question"))
-	require.Zero(t, c.use("other", manual))
+	require.Zero(t, c.matchAndInsert("m", manual))
+	require.Equal(t, len(manual)/64*16, c.matchAndInsert("m", manual+"question"))
+	require.Zero(t, c.matchAndInsert("other", manual))
 }
 
-// A service reads a call and closes without an answer. The call ran; a client
-// that sends it again runs it twice, and the records show it.
+// A service executes a call and resets the connection without an answer. A
+// client that repeats the call executes it twice, and the records show both.
 func TestServiceCountsExecutions(t *testing.T) {
 	s := NewService(ServiceOptions{})
 	srv := serveTest(t, s)
@@ -287,20 +291,20 @@
 	require.Equal(t, 2, s.Records().(ServiceRecords).MostPerBody)
 }
 
-// The list shows what was true one lag ago.
+// Callers receive the list as it was one lag ago.
 func TestVMListLags(t *testing.T) {
 	l := NewVMList(VMListOptions{Lag: time.Hour, VMs: []ListedVM{{Address: "127.0.0.1:1"}}})
 	l.Set([]vmlist.VM{{Address: "127.0.0.1:1", State: vmlist.Leaving}})
-	seen, _ := l.seen()
+	seen, _ := l.laggedList()
 	require.Equal(t, vmlist.Live, seen.VMs[0].State)
 	l.SetFaults(&VMListFaults{LagMS: 1})
 	require.Eventually(t, func() bool {
-		seen, _ := l.seen()
+		seen, _ := l.laggedList()
 		return seen.VMs[0].State == vmlist.Leaving
 	}, 10*time.Second, time.Millisecond)
 }
 
-// More loads than the store allows are refused and on record.
+// Loads over the store's rate limit are refused and recorded.
 func TestWeightStoreRecordsViolations(t *testing.T) {
 	s := NewWeightStore(WeightStoreOptions{LoadsPerSecond: 1})
 	srv := serveTest(t, s)
@@ -311,8 +315,8 @@
 }
 
 // A misspelt fault is refused, so that a scenario cannot pass because its
-// fault was never switched on.
-func TestFaultsAreStrict(t *testing.T) {
+// fault was never injected.
+func TestUnknownFaultsAreRefused(t *testing.T) {
 	_, srv := fastEngine(t, nil)
 	for body, want := range map[string]int{
 		`{"reset_streams":1,"crashed":true}`: http.StatusNoContent,
@@ -327,8 +331,9 @@
 	require.Error(t, err)
 }
 
-// Mistakes in a configuration file name the place.
-func TestConfigIsStrict(t *testing.T) {
+// Errors in a configuration name the file, line and setting, and a listen
+// address that is not an IP address is refused.
+func TestConfigRefusesInvalidSettings(t *testing.T) {
 	_, err := ParseConfig("f.yaml", []byte("standins:\n- {kind: kv, name: a, listen: '127.0.0.1:0'}\n- {kind: kw, name: b}\n"))
 	require.ErrorIs(t, err, ErrUnknownKind)
 	require.ErrorContains(t, err, "f.yaml:3: standins[1].kind")
--- a/internal/standin/vmlist.go
+++ b/internal/standin/vmlist.go
@@ -12,13 +12,13 @@
 
 // VMListOptions are the parameters of the VM list.
 type VMListOptions struct {
-	// VMs is the list at the start.
+	// VMs is the initial list.
 	VMs []ListedVM `yaml:"vms"`
-	// Lag is how old the list is that callers see. The default is none.
+	// Lag is the age of the list that callers receive. The default is 0.
 	Lag time.Duration `yaml:"lag"`
 }
 
-// ListedVM is one line of the list in a configuration file.
+// ListedVM is one VM of the list in a configuration file.
 type ListedVM struct {
 	// Address is "IP:port".
 	Address string `yaml:"address"`
@@ -32,32 +32,32 @@
 type VMListFaults struct {
 	// Outage answers every call with status 503.
 	Outage bool `json:"outage"`
-	// Hang gives no answer while it is set.
+	// Hang leaves the calls that arrive while it is set without an answer.
 	Hang bool `json:"hang"`
-	// LagMS, if it is not zero, replaces the configured lag.
+	// LagMS, if it is greater than zero, replaces the configured lag.
 	LagMS int64 `json:"lag_ms"`
 }
 
-// VMListRecords is what the VM list saw.
+// VMListRecords holds what the VM list recorded.
 type VMListRecords struct {
 	// Calls counts reads of the list.
 	Calls int `json:"calls"`
-	// Truth is the list without lag.
-	Truth vmlist.List `json:"truth"`
+	// Current is the list without lag.
+	Current vmlist.List `json:"truth"`
 }
 
-// VMList is the stand-in of the platform's lagging list of VMs. The true list
-// is replaced by PUT /standin/vms or Set.
+// VMList is the stand-in for the platform's lagging list of VMs. PUT
+// /standin/vms or Set replaces the current list.
 type VMList struct {
 	lag time.Duration
 
-	mu     sync.Mutex
-	faults VMListFaults
-	truths []vmlist.List
-	calls  int
+	mu      sync.Mutex
+	faults  VMListFaults
+	history []vmlist.List
+	calls   int
 }
 
-// NewVMList makes a list whose first content is seen at once.
+// NewVMList returns a list whose initial content callers receive immediately.
 func NewVMList(o VMListOptions) *VMList {
 	l := &VMList{lag: o.Lag}
 	first := vmlist.List{AsOf: time.Now().Add(-o.Lag), VMs: make([]vmlist.VM, 0, len(o.VMs))}
@@ -67,15 +67,15 @@
 		}
 		first.VMs = append(first.VMs, vmlist.VM(v))
 	}
-	l.truths = []vmlist.List{first}
+	l.history = []vmlist.List{first}
 	return l
 }
 
-// Set replaces the true list; callers see it after the lag.
+// Set replaces the current list; callers receive it after the lag.
 func (l *VMList) Set(vms []vmlist.VM) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.truths = append(l.truths, vmlist.List{AsOf: time.Now(), VMs: slices.Clone(vms)})
+	l.history = append(l.history, vmlist.List{AsOf: time.Now(), VMs: slices.Clone(vms)})
 }
 
 // Faults returns a copy of the *VMListFaults in force.
@@ -100,13 +100,14 @@
 func (l *VMList) Records() any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return VMListRecords{Calls: l.calls, Truth: l.truths[len(l.truths)-1]}
+	return VMListRecords{Calls: l.calls, Current: l.history[len(l.history)-1]}
 }
 
 // Close does nothing: the list has no background work.
 func (l *VMList) Close() {}
 
-// ServeHTTP answers GET /v1/vms, and PUT /standin/vms with a new true list.
+// ServeHTTP answers GET /v1/vms, and PUT /standin/vms, which replaces the
+// current list.
 func (l *VMList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.Method + " " + r.URL.Path {
 	case "GET /v1/vms":
@@ -125,7 +126,7 @@
 }
 
 func (l *VMList) serveList(w http.ResponseWriter, r *http.Request) {
-	list, faults := l.seen()
+	list, faults := l.laggedList()
 	if faults.Hang {
 		silence(r)
 		<-r.Context().Done()
@@ -138,8 +139,9 @@
 	writeJSON(w, http.StatusOK, list)
 }
 
-// seen returns the list as it was one lag ago, with the time of that view.
-func (l *VMList) seen() (vmlist.List, VMListFaults) {
+// laggedList counts a read and returns the list as it was one lag ago, with that
+// time as AsOf, and the faults in force.
+func (l *VMList) laggedList() (vmlist.List, VMListFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls++
@@ -148,12 +150,12 @@
 		lag = time.Duration(l.faults.LagMS) * time.Millisecond
 	}
 	at := time.Now().Add(-lag)
-	seen := l.truths[0]
-	for _, t := range l.truths[1:] {
+	visible := l.history[0]
+	for _, t := range l.history[1:] {
 		if !t.AsOf.After(at) {
-			seen = t
+			visible = t
 		}
 	}
-	seen.AsOf = at
-	return seen, l.faults
+	visible.AsOf = at
+	return visible, l.faults
 }
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -24,23 +24,23 @@
 	// ConcurrentLoads is how many loads may run at once. The default, 0, means
 	// no limit.
 	ConcurrentLoads int `yaml:"concurrent_loads"`
-	// BytesPerSecond is the speed of one load. The default is 4 GiB.
+	// BytesPerSecond is the speed of one load. The default is 4 GiB per second.
 	BytesPerSecond document.Bytes `yaml:"bytes_per_second"`
 }
 
 const defaultBytesPerSecond = 4 * document.GiB
 
-// WeightLoad is one load that an engine asked the weight store for.
+// WeightLoad is one load that an engine requests from the weight store.
 type WeightLoad struct {
-	// Engine asks.
+	// Engine is the name of the engine that requests the load.
 	Engine string `json:"engine"`
-	// Item is what it loads.
+	// Item is the item to load.
 	Item engine.Item `json:"item"`
 	// Memory is the item's size in bytes.
 	Memory int64 `json:"memory"`
 }
 
-// Weights is where an engine loads from.
+// Weights is the source from which an engine loads weights.
 type Weights interface {
 	// Load returns once the weights have been read, or ErrOverLimit.
 	Load(ctx context.Context, l WeightLoad) error
@@ -50,16 +50,16 @@
 type WeightStoreFaults struct {
 	// Outage answers every call with status 503.
 	Outage bool `json:"outage"`
-	// SlowMS is added to every load.
+	// SlowMS is the time in milliseconds that is added to every load.
 	SlowMS int64 `json:"slow_ms"`
 }
 
-// WeightStoreRecords is what the weight store saw.
+// WeightStoreRecords holds what the weight store recorded.
 type WeightStoreRecords struct {
-	// Loads counts the loads that were let in.
+	// Loads counts the loads that were admitted.
 	Loads int `json:"loads"`
-	// RateViolations and ConcurrencyViolations count the loads that were
-	// refused because they came too soon or too many at once.
+	// RateViolations and ConcurrencyViolations count the loads that were refused
+	// because they exceeded the rate limit or the concurrency limit.
 	RateViolations        int `json:"rate_violations"`
 	ConcurrencyViolations int `json:"concurrency_violations"`
 	// MaxConcurrent is the largest number of loads that ran at once.
@@ -68,7 +68,7 @@
 	ByItem map[string]int `json:"by_item"`
 }
 
-// WeightStore is the stand-in of the rate-limited weight store.
+// WeightStore is the stand-in for the rate-limited weight store.
 type WeightStore struct {
 	options WeightStoreOptions
 	limit   *rate.Limiter
@@ -79,8 +79,8 @@
 	records WeightStoreRecords
 }
 
-// NewWeightStore makes a weight store. Its rate limit lets as many loads start
-// together as it allows in one second.
+// NewWeightStore returns a weight store. The burst of its rate limit is the
+// number of loads that it allows in one second, and at least 1.
 func NewWeightStore(o WeightStoreOptions) *WeightStore {
 	if o.BytesPerSecond <= 0 {
 		o.BytesPerSecond = defaultBytesPerSecond
@@ -120,14 +120,15 @@
 // Close does nothing: the weight store has no background work.
 func (s *WeightStore) Close() {}
 
-// Load reads weights at the store's speed. It returns ErrOverLimit at once
-// where the store's rate or concurrency is exceeded.
+// Load takes as long as reading the weights at the store's speed. It returns
+// ErrOverLimit at once if the store's rate or concurrency limit is exceeded, or
+// during an outage.
 func (s *WeightStore) Load(ctx context.Context, l WeightLoad) error {
-	slow, err := s.begin(l)
+	slow, err := s.startLoad(l)
 	if err != nil {
 		return err
 	}
-	defer s.end()
+	defer s.endLoad()
 	seconds := float64(l.Memory) / float64(s.options.BytesPerSecond)
 	t := time.NewTimer(slow + time.Duration(seconds*float64(time.Second)))
 	defer t.Stop()
@@ -139,7 +140,7 @@
 	}
 }
 
-func (s *WeightStore) begin(l WeightLoad) (time.Duration, error) {
+func (s *WeightStore) startLoad(l WeightLoad) (time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.Outage {
@@ -160,7 +161,7 @@
 	return time.Duration(s.faults.SlowMS) * time.Millisecond, nil
 }
 
-func (s *WeightStore) end() {
+func (s *WeightStore) endLoad() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
@@ -170,8 +171,8 @@
 	return i.Model + "/" + i.Adapter + "@" + i.Version
 }
 
-// ServeHTTP answers POST /v1/loads once the load is over: 204, 429 over the
-// limit.
+// ServeHTTP answers POST /v1/loads when the load has ended: 204, or 429 if the
+// store refused it.
 func (s *WeightStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost || r.URL.Path != "/v1/loads" {
 		http.NotFound(w, r)
@@ -195,7 +196,9 @@
 	URL string
 }
 
-// Load asks the weight store. It returns ErrOverLimit if the store refuses.
+// Load requests the load from the weight store and waits for its end. It returns
+// ErrOverLimit if the store refuses the load, or a *StatusError for another
+// status.
 func (w RemoteWeights) Load(ctx context.Context, l WeightLoad) error {
 	body, err := json.Marshal(l)
 	if err != nil {
