--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -12,82 +12,86 @@
 )
 
 var (
-	// ErrNoAddress means that no entry VM said which address to use.
+	// ErrNoAddress means that no entry VM returned an address to use.
 	ErrNoAddress = errors.New("load: no address")
 )
 
 const (
-	addressTimeout = 2 * time.Second
-	maxAnswerBytes = 8 << 20
+	addressTimeout   = 2 * time.Second
+	maxResponseBytes = 8 << 20
 )
 
-// addresses is the answer to a caller's question which entry VM to use.
-type addresses struct {
+// addressAnswer is the response to GET /v1/addresses: the entry VMs to use, in
+// order of preference, and how long the caller keeps them.
+type addressAnswer struct {
 	Addresses []struct {
 		URL string `json:"url"`
 	} `json:"addresses"`
 	TTLMS int64 `json:"ttl_ms"`
 }
 
-// caller is one caller. It keeps an address answer for its lifetime and uses
-// the first address of it, the next one after a failure.
+// caller is one caller of the system. It caches an address answer for the
+// answer's lifetime. It uses the first address and moves to the next one after
+// a failure.
 type caller struct {
 	client  *http.Client
 	entries []string
 
-	mu      sync.Mutex
-	asked   int
-	answer  addresses
-	expires time.Time
-	using   int
+	mu           sync.Mutex
+	entryIndex   int
+	answer       addressAnswer
+	expiresAt    time.Time
+	addressIndex int
 }
 
-// base returns the address to use now.
-func (c *caller) base(ctx context.Context) (string, error) {
+// baseURL returns the base URL of the entry VM to use now. It requests new
+// addresses if the cached ones have expired.
+func (c *caller) baseURL(ctx context.Context) (string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Now().After(c.expires) {
-		if err := c.ask(ctx); err != nil {
+	if time.Now().After(c.expiresAt) {
+		if err := c.refreshAddresses(ctx); err != nil {
 			return "", err
 		}
 	}
-	return c.answer.Addresses[c.using%len(c.answer.Addresses)].URL, nil
+	return c.answer.Addresses[c.addressIndex%len(c.answer.Addresses)].URL, nil
 }
 
-// failed makes the caller leave an address that did not work.
-func (c *caller) failed(base string) {
+// markFailed moves the caller from a failed address to the next one. After the
+// last one, the cached answer expires.
+func (c *caller) markFailed(base string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.answer.Addresses) == 0 || c.answer.Addresses[c.using%len(c.answer.Addresses)].URL != base {
+	if len(c.answer.Addresses) == 0 || c.answer.Addresses[c.addressIndex%len(c.answer.Addresses)].URL != base {
 		return
 	}
-	c.using++
-	if c.using >= len(c.answer.Addresses) {
-		c.expires = time.Time{}
+	c.addressIndex++
+	if c.addressIndex >= len(c.answer.Addresses) {
+		c.expiresAt = time.Time{}
 	}
 }
 
-// ask asks the entry VMs in turn until one answers.
-func (c *caller) ask(ctx context.Context) error {
-	last := ErrNoAddress
+// refreshAddresses queries the entry VMs in turn until one returns addresses.
+func (c *caller) refreshAddresses(ctx context.Context) error {
+	lastErr := ErrNoAddress
 	for range c.entries {
-		entry := c.entries[c.asked%len(c.entries)]
-		answer, err := c.askOne(ctx, entry)
+		entry := c.entries[c.entryIndex%len(c.entries)]
+		answer, err := c.fetchAddresses(ctx, entry)
 		if err == nil {
-			c.answer, c.using = answer, 0
-			c.expires = time.Now().Add(time.Duration(answer.TTLMS) * time.Millisecond)
+			c.answer, c.addressIndex = answer, 0
+			c.expiresAt = time.Now().Add(time.Duration(answer.TTLMS) * time.Millisecond)
 			return nil
 		}
-		last = err
-		c.asked++
+		lastErr = err
+		c.entryIndex++
 	}
-	return errors.WithMessage(last, ErrNoAddress.Error())
+	return errors.WithMessage(lastErr, ErrNoAddress.Error())
 }
 
-func (c *caller) askOne(ctx context.Context, entry string) (addresses, error) {
+func (c *caller) fetchAddresses(ctx context.Context, entry string) (addressAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, addressTimeout)
 	defer cancel()
-	var answer addresses
+	var answer addressAnswer
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, entry+"/v1/addresses", nil)
 	if err != nil {
 		return answer, errors.WithStack(err)
@@ -97,7 +101,7 @@
 		return answer, errors.WithStack(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	err = json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(&answer)
+	err = json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(&answer)
 	if err != nil {
 		return answer, errors.WithStack(err)
 	}
--- a/internal/load/exchange.go
+++ b/internal/load/exchange.go
@@ -18,15 +18,15 @@
 	"github.com/chestnutarch/chestnutarch/internal/standin"
 )
 
-// errBroke means that a stream ended before its end.
-var errBroke = errors.New("load: stream broke off")
+// errStreamBroken means that a stream ended without the final [DONE] event.
+var errStreamBroken = errors.New("load: stream broke off")
 
 const (
-	maxLineBytes = 1 << 20
-	resumePause  = 50 * time.Millisecond
+	maxLineBytes   = 1 << 20
+	resumeInterval = 50 * time.Millisecond
 )
 
-// apiError is the body of an error answer.
+// apiError is the body of an error response.
 type apiError struct {
 	Error struct {
 		Type    string `json:"type"`
@@ -35,7 +35,7 @@
 	} `json:"error"`
 }
 
-// exchange is one request on its way.
+// exchange is one request, its attempts to resume and its result.
 type exchange struct {
 	workload *Workload
 	team     *Team
@@ -44,33 +44,33 @@
 	caller   *caller
 	due      time.Time
 
-	result Result
-	text   strings.Builder
-	token  string
-	lastAt time.Time
-	tokens int
+	result      Result
+	text        strings.Builder
+	lastEventID string
+	lastTokenAt time.Time
+	tokenCount  int
 }
 
-// run makes the request and returns what its caller saw.
+// run sends the request and returns the result that the caller observes.
 func (x *exchange) run(ctx context.Context) Result {
 	ctx, cancel := context.WithTimeout(ctx, x.call.Timeout)
 	defer cancel()
 	x.result = Result{Arrival: x.arrival, Outcome: Failed}
-	base, err := x.caller.base(ctx)
+	base, err := x.caller.baseURL(ctx)
 	if err != nil {
-		x.result.Reason = "no address: " + reason(err)
+		x.result.Reason = "no address: " + errorReason(err)
 		return x.result
 	}
 	if x.call.Kind == KindAction {
-		x.act(ctx, base)
+		x.runAction(ctx, base)
 	} else {
-		x.stream(ctx, base)
+		x.runStream(ctx, base)
 	}
 	x.result.Total = time.Since(x.due)
 	return x.result
 }
 
-func (x *exchange) request(ctx context.Context, method, url string, body []byte) (*http.Request, error) {
+func (x *exchange) newRequest(ctx context.Context, method, url string, body []byte) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -82,10 +82,11 @@
 	return request, nil
 }
 
-// act makes an action and checks that the answer is to its own body.
-func (x *exchange) act(ctx context.Context, base string) {
+// runAction sends an action and checks that the answer has the digest of the
+// body that was sent.
+func (x *exchange) runAction(ctx context.Context, base string) {
 	body := []byte(x.arrival.Prompt)
-	request, err := x.request(ctx, http.MethodPost, base+"/services"+x.call.Path, body)
+	request, err := x.newRequest(ctx, http.MethodPost, base+"/services"+x.call.Path, body)
 	if err != nil {
 		return
 	}
@@ -94,19 +95,19 @@
 	}
 	response, err := x.caller.client.Do(request)
 	if err != nil {
-		x.lost(base, err)
+		x.recordConnectionFailure(base, err)
 		x.result.Outcome = Unknown
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		x.lost(base, err)
+		x.recordConnectionFailure(base, err)
 		x.result.Outcome = Unknown
 		return
 	}
 	if response.StatusCode != http.StatusOK {
-		x.refused(response.StatusCode, data)
+		x.recordRefusal(response.StatusCode, data)
 		return
 	}
 	x.result.FirstToken = time.Since(x.due)
@@ -118,15 +119,16 @@
 	}
 }
 
-// lost notes that the address gave no answer, so that the caller leaves it.
-func (x *exchange) lost(base string, err error) {
-	x.caller.failed(base)
-	x.result.Reason = reason(err)
+// recordConnectionFailure records an error of the connection to an address and
+// makes the caller move to the next address.
+func (x *exchange) recordConnectionFailure(base string, err error) {
+	x.caller.markFailed(base)
+	x.result.Reason = errorReason(err)
 }
 
-// reason is the last part of an error's text, which has no addresses in it, so
-// that equal causes are counted together.
-func reason(err error) string {
+// errorReason returns the last part of an error's text. That part contains no
+// addresses, so that errors of the same cause are counted together.
+func errorReason(err error) string {
 	text := err.Error()
 	if i := strings.LastIndex(text, ": "); i >= 0 {
 		text = text[i+2:]
@@ -134,7 +136,7 @@
 	return text
 }
 
-func (x *exchange) refused(status int, data []byte) {
+func (x *exchange) recordRefusal(status int, data []byte) {
 	var e apiError
 	_ = json.Unmarshal(data, &e)
 	x.result.Reason = strconv.Itoa(status) + " " + e.Error.Type
@@ -151,49 +153,50 @@
 	}
 }
 
-// stream makes a generation and takes it up again where it breaks off: first as
-// a stream that an engine still has, and if none has it any more by the original
-// request with the last event's ID.
-func (x *exchange) stream(ctx context.Context, base string) {
-	response, err := x.open(ctx, base)
+// runStream sends a generation request and resumes the stream when it breaks
+// off. It first tries to resume the stream that an engine still has; if no
+// engine has it any more, it repeats the original request with the ID of the
+// last event.
+func (x *exchange) runStream(ctx context.Context, base string) {
+	response, err := x.openStream(ctx, base)
 	for {
 		if err == nil && response.StatusCode == http.StatusOK {
-			err = x.read(response.Body)
+			err = x.readEvents(response.Body)
 			_ = response.Body.Close()
 			if err == nil {
-				x.judge()
+				x.verifyText()
 				return
 			}
 		}
-		lost := err == nil
-		if lost {
-			data, _ := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+		answered := err == nil
+		if answered {
+			data, _ := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 			_ = response.Body.Close()
-			x.refused(response.StatusCode, data)
+			x.recordRefusal(response.StatusCode, data)
 		} else {
-			x.lost(base, err)
+			x.recordConnectionFailure(base, err)
 		}
-		if x.token == "" {
+		if x.lastEventID == "" {
 			return
 		}
 		x.result.Outcome = Cut
-		if x.result.Resumes >= x.workload.Resumes || ctx.Err() != nil {
+		if x.result.Resumes >= x.workload.MaxResumes || ctx.Err() != nil {
 			return
 		}
 		x.result.Resumes++
-		wait(ctx, resumePause)
-		if base, err = x.caller.base(ctx); err != nil {
+		sleep(ctx, resumeInterval)
+		if base, err = x.caller.baseURL(ctx); err != nil {
 			return
 		}
-		if lost {
-			response, err = x.open(ctx, base)
+		if answered {
+			response, err = x.openStream(ctx, base)
 		} else {
-			response, err = x.resume(ctx, base)
+			response, err = x.resumeStream(ctx, base)
 		}
 	}
 }
 
-func (x *exchange) open(ctx context.Context, base string) (*http.Response, error) {
+func (x *exchange) openStream(ctx context.Context, base string) (*http.Response, error) {
 	body := struct {
 		Model     string            `json:"model"`
 		Prompt    string            `json:"prompt,omitempty"`
@@ -212,29 +215,30 @@
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	request, err := x.request(ctx, http.MethodPost, base+path, data)
+	request, err := x.newRequest(ctx, http.MethodPost, base+path, data)
 	if err != nil {
 		return nil, err
 	}
-	if x.token != "" {
-		request.Header.Set("Last-Event-ID", x.token)
+	if x.lastEventID != "" {
+		request.Header.Set("Last-Event-ID", x.lastEventID)
 	}
 	response, err := x.caller.client.Do(request)
 	return response, errors.WithStack(err)
 }
 
-func (x *exchange) resume(ctx context.Context, base string) (*http.Response, error) {
-	request, err := x.request(ctx, http.MethodGet, base+"/v1/streams", nil)
+func (x *exchange) resumeStream(ctx context.Context, base string) (*http.Response, error) {
+	request, err := x.newRequest(ctx, http.MethodGet, base+"/v1/streams", nil)
 	if err != nil {
 		return nil, err
 	}
-	request.Header.Set("Last-Event-ID", x.token)
+	request.Header.Set("Last-Event-ID", x.lastEventID)
 	response, err := x.caller.client.Do(request)
 	return response, errors.WithStack(err)
 }
 
-// read reads events until the end of the stream. Only [DONE] is its end.
-func (x *exchange) read(body io.Reader) error {
+// readEvents reads events until [DONE], which alone marks a complete stream. Any
+// other end is an error.
+func (x *exchange) readEvents(body io.Reader) error {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxLineBytes)
 	id, data, name := "", "", ""
@@ -253,23 +257,23 @@
 				continue
 			}
 			if name == "error" {
-				return errors.Wrap(errBroke, data)
+				return errors.Wrap(errStreamBroken, data)
 			}
 			if data == "[DONE]" {
 				return nil
 			}
-			x.event(id, data)
+			x.addEvent(id, data)
 			data, name = "", ""
 		}
 	}
 	if err := lines.Err(); err != nil {
 		return errors.WithStack(err)
 	}
-	return errBroke
+	return errStreamBroken
 }
 
-// event takes one event into the text and notes when it came.
-func (x *exchange) event(id, data string) {
+// addEvent appends the text of one event and records its time of arrival.
+func (x *exchange) addEvent(id, data string) {
 	var e struct {
 		Choices []struct {
 			Text  string          `json:"text"`
@@ -280,38 +284,38 @@
 		return
 	}
 	if id != "" {
-		x.token = id
+		x.lastEventID = id
 	}
-	piece := e.Choices[0].Text + e.Choices[0].Delta.Content
-	if piece == "" {
+	content := e.Choices[0].Text + e.Choices[0].Delta.Content
+	if content == "" {
 		return
 	}
 	now := time.Now()
-	if x.tokens == 0 {
+	if x.tokenCount == 0 {
 		x.result.FirstToken = now.Sub(x.due)
 	} else {
-		x.result.Gaps = append(x.result.Gaps, now.Sub(x.lastAt))
+		x.result.TokenGaps = append(x.result.TokenGaps, now.Sub(x.lastTokenAt))
 	}
-	x.lastAt = now
-	x.tokens++
-	x.text.WriteString(piece)
+	x.lastTokenAt = now
+	x.tokenCount++
+	x.text.WriteString(content)
 }
 
-// judge compares the digest of the text with that of the text that the
-// stand-in engines generate for the prompt.
-func (x *exchange) judge() {
+// verifyText sets the outcome by comparing the digest of the received text with
+// the digest of the text that the stand-in engines generate for the prompt.
+func (x *exchange) verifyText() {
 	x.result.Outcome = Damaged
-	if sha256.Sum256([]byte(x.text.String())) == sha256.Sum256([]byte(x.expected().Text())) {
+	if sha256.Sum256([]byte(x.text.String())) == sha256.Sum256([]byte(x.expectedGeneration().Text())) {
 		x.result.Outcome = Whole
 	}
 }
 
-// expected is the generation that the request stands for.
-func (x *exchange) expected() standin.Generation {
-	return standin.Generate(x.arrival.Model, x.call.text(x.arrival), x.call.MaxTokens, false)
+// expectedGeneration returns the complete generation for the request.
+func (x *exchange) expectedGeneration() standin.Generation {
+	return standin.Generate(x.arrival.Model, x.call.promptText(x.arrival), x.call.MaxTokens, false)
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -17,9 +17,10 @@
 	"github.com/chestnutarch/chestnutarch/internal/standin"
 )
 
-// directEntry answers address questions with itself and hands every call to
-// one engine or service, so that the load tool can be tested alone.
-func directEntry(t *testing.T, engine, service http.Handler) string {
+// startTestEntry starts a server that returns itself as the only address and
+// forwards every call to one engine or service, so that the load tool is tested
+// without an entry VM.
+func startTestEntry(t *testing.T, engine, service http.Handler) string {
 	t.Helper()
 	var srv *httptest.Server
 	var calls atomic.Int64
@@ -41,7 +42,7 @@
 	return srv.URL
 }
 
-func testEngine(t *testing.T) *standin.Engine {
+func newTestEngine(t *testing.T) *standin.Engine {
 	t.Helper()
 	e := standin.NewEngine(standin.EngineOptions{
 		TimeScale: 100, Resident: []standin.ResidentOption{{Model: "m", Version: "v1", Memory: document.GiB}},
@@ -50,7 +51,7 @@
 	return e
 }
 
-func testWorkload(t *testing.T, entry string) *Workload {
+func newTestWorkload(t *testing.T, entry string) *Workload {
 	t.Helper()
 	w, err := ParseWorkload("w.yaml", []byte(`
 name: test
@@ -74,10 +75,10 @@
 	return w
 }
 
-// Every answer that the engine gives in full is recognised as whole, and the
-// report and its plots can be written.
-func TestRunJudgesWholeAnswers(t *testing.T) {
-	w := testWorkload(t, directEntry(t, testEngine(t), standin.NewService(standin.ServiceOptions{})))
+// Complete answers count as whole, requests with a wrong key as refused, and the
+// table, the plots and the JSON report can be written.
+func TestRunClassifiesCompleteAnswers(t *testing.T) {
+	w := newTestWorkload(t, startTestEntry(t, newTestEngine(t), standin.NewService(standin.ServiceOptions{})))
 	report, err := Run(t.Context(), w)
 	require.NoError(t, err)
 	studios := report.Teams[0]
@@ -95,30 +96,31 @@
 	require.NoError(t, err)
 }
 
-// An engine ends some answers early, breaks others and sends one that belongs
-// to another prompt. None of them may count as whole.
-func TestRunJudgesBrokenAnswers(t *testing.T) {
-	e := testEngine(t)
+// Five streams are truncated after three events, and one answer has the text of
+// another prompt. None of them may count as whole.
+func TestRunClassifiesBrokenAnswers(t *testing.T) {
+	e := newTestEngine(t)
 	e.SetFaults(&standin.EngineFaults{TruncateStreams: 5, AfterEvents: 3})
-	w := testWorkload(t, directEntry(t, e, standin.NewService(standin.ServiceOptions{})))
-	w.Resumes = 0
+	w := newTestWorkload(t, startTestEntry(t, e, standin.NewService(standin.ServiceOptions{})))
+	w.MaxResumes = 0
 	report, err := Run(t.Context(), w)
 	require.NoError(t, err)
 	require.Equal(t, 5, report.Total.Outcomes[Cut])
 
 	x := exchange{call: &Call{Kind: KindCompletion, MaxTokens: 20}, arrival: Arrival{Model: "m", Prompt: "mine"}}
 	x.text.WriteString(standin.Generate("m", "another's", 20, false).Text())
-	x.judge()
+	x.verifyText()
 	require.Equal(t, Damaged, x.result.Outcome)
 }
 
-// A schedule that changed between runs would make two measurements differ for
-// a reason that nobody sees.
-func TestScheduleFollowsFromSeed(t *testing.T) {
-	w := testWorkload(t, "http://127.0.0.1:1")
+// The schedule depends only on the workload and its seed: otherwise two runs of
+// one workload could differ because of their requests and not because of the
+// system. A surge multiplies the arrivals in its part of the run.
+func TestScheduleIsDeterministic(t *testing.T) {
+	w := newTestWorkload(t, "http://127.0.0.1:1")
 	require.Equal(t, Schedule(w), Schedule(w))
 	w.Teams[0].Calls[0].Shape = ShapeSurge
-	w.Teams[0].Calls[0].fill(w.Duration)
+	w.Teams[0].Calls[0].setDefaults(w.Duration)
 	w.Teams[0].Calls[0].Rate = 1000
 	counts := make([]int, 3)
 	for _, a := range Schedule(w) {
@@ -127,27 +129,27 @@
 	require.Greater(t, counts[1], 3*counts[0])
 }
 
-// The ideal bucket gives burst at once and rate after it.
+// The ideal bucket admits the burst at once, then the rate, and refunded tokens.
 func TestBucket(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := newBucket(10, 20, now)
-	require.True(t, b.take(20, now))
-	require.False(t, b.take(1, now))
-	require.True(t, b.take(10, now.Add(time.Second)))
+	require.True(t, b.admit(20, now))
+	require.False(t, b.admit(1, now))
+	require.True(t, b.admit(10, now.Add(time.Second)))
 	b.refund(5, now.Add(time.Second))
-	require.True(t, b.take(5, now.Add(time.Second)))
+	require.True(t, b.admit(5, now.Add(time.Second)))
 }
 
-// A mistake in a workload names its place.
-func TestWorkloadIsStrict(t *testing.T) {
+// An error in a workload names the file, the line and the setting.
+func TestParseWorkloadLocatesErrors(t *testing.T) {
 	_, err := ParseWorkload("w.yaml", []byte("entries: ['http://127.0.0.1:1']\nteams:\n- calls:\n  - {kind: chat}\n"))
-	require.ErrorIs(t, err, ErrNothingToDo)
+	require.ErrorIs(t, err, ErrNoRequests)
 	require.ErrorContains(t, err, "w.yaml:4: teams[0].calls[0].models")
 	_, err = ParseWorkload("w.yaml", []byte("entries: ['http://localhost:1']\n"))
-	require.ErrorIs(t, err, ErrBadSetting)
+	require.ErrorIs(t, err, ErrInvalidSetting)
 }
 
-// The examples that readers start from can be read.
+// The example files of the load tool and of the stand-ins parse without errors.
 func TestExamplesAreValid(t *testing.T) {
 	_, err := ReadWorkload("../../examples/workloads/flash-crowd.yaml")
 	require.NoError(t, err)
@@ -155,14 +157,14 @@
 	require.NoError(t, err)
 }
 
-// A team sends four times its rate. The system admits as many requests as an
-// ideal bucket would, but others: nothing was refused inside the rate. When it
-// admits one fewer, one was.
-func TestReportCountsWhatIsMissing(t *testing.T) {
+// A team sends four times its rate. The system admits as many requests as the
+// ideal bucket, but different ones: none counts as refused inside the rate. If
+// the system admits one fewer, one request counts as refused inside the rate.
+func TestReportCountsShortfallInsideRate(t *testing.T) {
 	w := &Workload{Duration: time.Second, FirstToken: time.Second, Teams: []Team{{Name: "a"}}}
 	results := make([]Result, 8)
 	for i := range results {
-		results[i] = Result{Outcome: Refused, Inside: i < 2}
+		results[i] = Result{Outcome: Refused, InsideRate: i < 2}
 	}
 	results[6].Outcome, results[7].Outcome = Whole, Whole
 	report := newReport(w, results, records{}, records{})
--- a/internal/load/outcome.go
+++ b/internal/load/outcome.go
@@ -2,65 +2,69 @@
 
 import "time"
 
-// Outcome is how one request ended.
+// Outcome is the way in which one request ended.
 type Outcome string
 
 // The outcomes of a request.
 const (
 	// Whole is a complete and correct answer.
 	Whole Outcome = "whole"
-	// Damaged is an answer that says it is whole but is not the right one.
+	// Damaged is an answer that ended as complete but has the wrong content.
 	Damaged Outcome = "damaged"
-	// Cut is an answer that broke off and could not be taken up again.
+	// Cut is an answer that broke off and could not be resumed.
 	Cut Outcome = "cut"
-	// Refused is a refusal that says the request was not run, for its rate.
+	// Refused is a refusal for the team's rate, with status 429, that states that
+	// the request was not run.
 	Refused Outcome = "refused"
-	// NotRun is any other refusal that says the request was not run.
+	// NotRun is any other refusal that states that the request was not run.
 	NotRun Outcome = "not_run"
-	// Unknown is an action of which it is not known whether it ran.
+	// Unknown is a request of which it is not known whether it ran.
 	Unknown Outcome = "unknown"
-	// Failed is any other end: no connection, no answer, a malformed one.
+	// Failed is any other failure: no connection, no answer or a malformed one.
 	Failed Outcome = "failed"
-	// NotSent is an arrival that the load tool had no room for.
+	// NotSent is an arrival that was not sent because too many requests were in
+	// flight.
 	NotSent Outcome = "not_sent"
 )
 
-// outcomes lists them in the order of the report.
-var outcomes = []Outcome{Whole, Damaged, Cut, Refused, NotRun, Unknown, Failed, NotSent}
+// allOutcomes lists the outcomes in the order of the report.
+var allOutcomes = []Outcome{Whole, Damaged, Cut, Refused, NotRun, Unknown, Failed, NotSent}
 
-// Result is what one request's caller saw. Times count from the scheduled
-// arrival.
+// Result is the result of one request as its caller observes it. Times count
+// from the scheduled arrival.
 type Result struct {
 	Arrival Arrival
-	// Outcome is how it ended.
+	// Outcome is the way in which the request ended.
 	Outcome Outcome
-	// Reason is the error's type or text.
+	// Reason is the status and type of the error response, or the last part of
+	// the error's text.
 	Reason string
-	// Inside says that the team's ideal bucket admits it.
-	Inside bool
-	// FirstToken is the time to the first token, Total to the end.
+	// InsideRate means that the team's ideal bucket admits the request.
+	InsideRate bool
+	// FirstToken is the time to the first token, Total the time to the end.
 	FirstToken time.Duration
 	Total      time.Duration
-	// Gaps are the times between tokens.
-	Gaps []time.Duration
-	// Resumes is how often the stream was taken up again.
+	// TokenGaps are the times between consecutive tokens.
+	TokenGaps []time.Duration
+	// Resumes is the number of attempts to resume the stream.
 	Resumes int
 }
 
-// perToken is the mean time between the tokens of a stream.
-func (r *Result) perToken() time.Duration {
-	if len(r.Gaps) == 0 {
+// meanTokenGap returns the mean time between the tokens of a stream, or 0 if
+// there is no gap.
+func (r *Result) meanTokenGap() time.Duration {
+	if len(r.TokenGaps) == 0 {
 		return 0
 	}
 	var sum time.Duration
-	for _, g := range r.Gaps {
-		sum += g
+	for _, gap := range r.TokenGaps {
+		sum += gap
 	}
-	return sum / time.Duration(len(r.Gaps))
+	return sum / time.Duration(len(r.TokenGaps))
 }
 
-// attained says whether a request met the objectives. An action has to be
-// answered within the time to the first token.
-func (r *Result) attained(w *Workload) bool {
-	return r.Outcome == Whole && r.FirstToken <= w.FirstToken && r.perToken() <= w.BetweenTokens
+// metObjectives reports whether a request met both latency objectives. For an
+// action, the objective of the first token applies to the whole answer.
+func (r *Result) metObjectives(w *Workload) bool {
+	return r.Outcome == Whole && r.FirstToken <= w.FirstToken && r.meanTokenGap() <= w.BetweenTokens
 }
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -11,11 +11,12 @@
 	"github.com/pkg/errors"
 )
 
-// plotPoints is how many points a line over the run has at most.
-const plotPoints = 120
+// targetPlotPoints is the number of points to aim for in a line over the run.
+// Rounding the width of a point to whole seconds may give more or fewer.
+const targetPlotPoints = 120
 
-// WritePlots writes an HTML page: how requests ended over the run, the time to
-// the first token over the run, and the attainment of each team.
+// WritePlots writes an HTML page with the outcomes and the time to the first
+// token over the run, and the attainment of each team.
 func (r *Report) WritePlots(w io.Writer) error {
 	page := components.NewPage()
 	page.PageTitle = "chestnut-load: " + r.Workload
@@ -23,14 +24,15 @@
 	return errors.WithStack(page.Render(w))
 }
 
-// slots divides the run.
-func (r *Report) slots() (time.Duration, int) {
-	width := max(time.Second, (r.workload.Duration / plotPoints).Round(time.Second))
+// timeSlots returns the width and the number of the slots into which plots
+// divide the run. A slot is at least one second wide.
+func (r *Report) timeSlots() (time.Duration, int) {
+	width := max(time.Second, (r.workload.Duration / targetPlotPoints).Round(time.Second))
 	return width, int(r.workload.Duration/width) + 1
 }
 
-func (r *Report) axis() []string {
-	width, n := r.slots()
+func (r *Report) timeAxis() []string {
+	width, n := r.timeSlots()
 	names := make([]string, n)
 	for i := range names {
 		names[i] = (time.Duration(i) * width).String()
@@ -50,10 +52,10 @@
 }
 
 func (r *Report) plotOutcomes() *charts.Line {
-	width, n := r.slots()
-	line := newLine("Requests by outcome, at their arrival", "1/s")
-	line.SetXAxis(r.axis())
-	for _, outcome := range outcomes {
+	width, n := r.timeSlots()
+	line := newLine("Requests by outcome and time of arrival", "1/s")
+	line.SetXAxis(r.timeAxis())
+	for _, outcome := range allOutcomes {
 		if r.Total.Outcomes[outcome] == 0 {
 			continue
 		}
@@ -73,16 +75,16 @@
 }
 
 func (r *Report) plotFirstToken() *charts.Line {
-	width, n := r.slots()
-	line := newLine("Time to the first token, by arrival", "ms")
-	line.SetXAxis(r.axis())
+	width, n := r.timeSlots()
+	line := newLine("Time to the first token, by time of arrival", "ms")
+	line.SetXAxis(r.timeAxis())
 	slots := make([][]Result, n)
 	for _, result := range r.results {
 		slots[result.Arrival.At/width] = append(slots[result.Arrival.At/width], result)
 	}
 	median, tail := make([]opts.LineData, n), make([]opts.LineData, n)
 	for i, results := range slots {
-		f := figures(r.workload, "", results)
+		f := newFigures(r.workload, "", results)
 		median[i].Value, tail[i].Value = f.FirstToken.P50, f.FirstToken.P95
 	}
 	line.AddSeries("p50", median)
--- a/internal/load/records.go
+++ b/internal/load/records.go
@@ -13,49 +13,50 @@
 
 const recordsTimeout = 10 * time.Second
 
-// records is what the stand-ins have on record at one time.
+// records is the sum of the counters of all stand-ins at one time.
 type records struct {
-	moves           int
-	promptTokens    int64
-	cachedTokens    int64
-	generatedTokens int64
-	overcommits     int
-	busySeconds     float64
-	executions      int
-	mostPerBody     int
-	missing         []string
+	moves                int
+	promptTokens         int64
+	cachedTokens         int64
+	generatedTokens      int64
+	overcommits          int
+	busySeconds          float64
+	executions           int
+	maxExecutionsPerBody int
+	missingURLs          []string
 }
 
-// readRecords adds up the records of all engines and services. One that gives
-// none is named, so that a measure which lacks it is not taken for whole.
+// readRecords sums the records of all engines and services. It lists the URLs of
+// those that do not return records, so that an incomplete sum is not mistaken
+// for a complete one.
 func readRecords(ctx context.Context, w *Workload) records {
-	var sum records
+	var totals records
 	for _, url := range w.Engines {
 		var e standin.EngineRecords
 		if err := fetchRecords(ctx, url, &e); err != nil {
-			sum.missing = append(sum.missing, url)
+			totals.missingURLs = append(totals.missingURLs, url)
 			continue
 		}
-		sum.moves += e.Loads + e.Unloads
-		sum.promptTokens += e.PromptTokens
-		sum.cachedTokens += e.CachedTokens
-		sum.generatedTokens += e.GeneratedTokens
-		sum.overcommits += len(e.Overcommits)
-		sum.busySeconds += e.BusySeconds
+		totals.moves += e.Loads + e.Unloads
+		totals.promptTokens += e.PromptTokens
+		totals.cachedTokens += e.CachedTokens
+		totals.generatedTokens += e.GeneratedTokens
+		totals.overcommits += len(e.Overcommits)
+		totals.busySeconds += e.BusySeconds
 	}
 	for _, url := range w.Services {
 		var s standin.ServiceRecords
 		if err := fetchRecords(ctx, url, &s); err != nil {
-			sum.missing = append(sum.missing, url)
+			totals.missingURLs = append(totals.missingURLs, url)
 			continue
 		}
-		sum.executions += s.Executed
-		sum.mostPerBody = max(sum.mostPerBody, s.MostPerBody)
+		totals.executions += s.Executed
+		totals.maxExecutionsPerBody = max(totals.maxExecutionsPerBody, s.MostPerBody)
 	}
-	return sum
+	return totals
 }
 
-func fetchRecords(ctx context.Context, url string, into any) error {
+func fetchRecords(ctx context.Context, url string, target any) error {
 	ctx, cancel := context.WithTimeout(ctx, recordsTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url+"/standin/records", nil)
@@ -68,5 +69,5 @@
 		return errors.WithStack(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	return errors.WithStack(json.NewDecoder(response.Body).Decode(into))
+	return errors.WithStack(json.NewDecoder(response.Body).Decode(target))
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -8,76 +8,85 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is what a run measured.
+// Report holds the measurements of a run.
 type Report struct {
-	// Workload is the workload's name, Seed its seed.
+	// Workload is the workload's name, Seed the seed of its schedule.
 	Workload string `json:"workload"`
 	Seed     uint64 `json:"seed"`
-	// Requests is the number of arrivals that the run reached.
+	// Requests is the number of scheduled arrivals that came due during the run.
 	Requests int `json:"requests"`
-	// Seconds is how long arrivals went on.
+	// Seconds is the configured duration of the arrivals.
 	Seconds float64 `json:"seconds"`
-	// Attainment is the number of requests that met both objectives, as a
-	// share of those inside the rate.
+	// Attainment is the number of requests that met both latency objectives,
+	// as a share of those inside the rate, from 0 to 1.
 	Attainment float64 `json:"attainment"`
-	// Accelerators is what AttainedPerAccelerator divides by.
+	// Accelerators is the number of accelerators by which
+	// AttainedPerAccelerator is divided.
 	Accelerators int `json:"accelerators"`
-	// AttainedPerAccelerator is the number of requests that met both
+	// AttainedPerAccelerator is the number of requests that met both latency
 	// objectives, per second and accelerator.
 	AttainedPerAccelerator float64 `json:"attained_per_accelerator"`
-	// Moves is the number of loads and unloads that the engines began.
+	// Moves is the number of model loads and unloads that the engines started
+	// during the run.
 	Moves int `json:"moves"`
-	// WorstTeam is the team with the least attainment, WorstAttainment that
-	// attainment and WorstToMean its ratio to the mean over all teams.
+	// WorstTeam is the team with the lowest attainment, WorstAttainment that
+	// attainment and WorstToMean its ratio to the mean over the teams. Teams
+	// without a request inside the rate are left out.
 	WorstTeam       string  `json:"worst_team"`
 	WorstAttainment float64 `json:"worst_attainment"`
 	WorstToMean     float64 `json:"worst_to_mean"`
-	// RefusedInside counts the requests that were refused for their rate
-	// although the team was inside it: by how many the system admitted fewer
-	// than the team's ideal bucket. RefusedOutside counts the others.
+	// RefusedInside counts the requests that were refused as rate limited
+	// although the team was inside its rate: the number by which the system
+	// admitted fewer requests than the team's ideal bucket. RefusedOutside
+	// counts the other rate-limited requests.
 	RefusedInside  int `json:"refused_inside"`
 	RefusedOutside int `json:"refused_outside"`
-	// PrefixHitShare is the part of prompt tokens that engines had cached.
+	// PrefixHitShare is the share of prompt tokens that the engines' prefix
+	// caches held, from 0 to 1.
 	PrefixHitShare float64 `json:"prefix_hit_share"`
-	// GeneratedPerSecond is the engines' tokens per second.
+	// GeneratedPerSecond is the number of tokens that all engines generated,
+	// per second.
 	GeneratedPerSecond float64 `json:"generated_per_second"`
-	// Busy is the share of the run that the engines' batches were not empty.
-	Busy float64 `json:"busy"`
-	// Overcommits counts breaches of accelerator memory.
+	// BatchBusyShare is the share of the run in which the engines' batches were
+	// not empty, as a mean over the engines.
+	BatchBusyShare float64 `json:"busy"`
+	// Overcommits counts how often engines exceeded their accelerator memory.
 	Overcommits int `json:"overcommits"`
-	// Executions is the number of actions that services ran, MostPerBody the
-	// most for one body since the services started.
-	Executions  int `json:"executions"`
-	MostPerBody int `json:"most_per_body"`
-	// Resumes counts streams that were taken up again.
+	// Executions is the number of actions that services executed during the
+	// run, MaxExecutionsPerBody the largest number of executions of one body
+	// since the services started.
+	Executions           int `json:"executions"`
+	MaxExecutionsPerBody int `json:"most_per_body"`
+	// Resumes counts the attempts to resume a broken stream.
 	Resumes int `json:"resumes"`
-	// RecordsMissing names the stand-ins whose records could not be read: the
-	// figures from records lack them.
-	RecordsMissing []string `json:"records_missing,omitempty"`
-	// Total and Teams are the figures of all requests and of each team's.
+	// MissingRecords lists the URLs of the stand-ins whose records could not be
+	// read after the run. The figures from records do not include them.
+	MissingRecords []string `json:"records_missing,omitempty"`
+	// Total holds the figures of all requests, Teams those of each team.
 	Total Figures   `json:"total"`
 	Teams []Figures `json:"teams"`
-	// Reasons counts the ends other than whole, by outcome and reason.
+	// Reasons counts the requests that did not end as whole, by "OUTCOME: REASON".
 	Reasons map[string]int `json:"reasons"`
 
 	results  []Result
 	workload *Workload
 }
 
-// Figures are the figures of a set of requests.
+// Figures holds the measurements of a set of requests.
 type Figures struct {
 	Name     string          `json:"name"`
 	Requests int             `json:"requests"`
 	Outcomes map[Outcome]int `json:"outcomes"`
-	// Inside is the number of requests that the team's ideal bucket admits.
-	// Attained is how many met both objectives, of all that the system
-	// admitted, but no more than Inside: which of a team's requests are
-	// admitted when it is over its rate is no merit or fault. Attainment is
-	// their ratio.
-	Inside     int     `json:"inside"`
+	// InsideRate is the number of requests that the team's ideal bucket admits.
+	// Attained is the number of requests that met both latency objectives, of
+	// all that the system admitted, limited to InsideRate: when a team exceeds
+	// its rate, it does not matter which of its requests are admitted.
+	// Attainment is Attained divided by InsideRate.
+	InsideRate int     `json:"inside"`
 	Attained   int     `json:"attained"`
 	Attainment float64 `json:"attainment"`
-	// FirstToken, BetweenTokens and Total are latencies of whole answers.
+	// FirstToken, BetweenTokens and Total are the latencies of whole answers.
+	// FirstToken and Total count from the scheduled arrival.
 	FirstToken    Quantiles `json:"first_token"`
 	BetweenTokens Quantiles `json:"between_tokens"`
 	Total         Quantiles `json:"total"`
@@ -91,8 +100,9 @@
 	Max float64 `json:"max_ms"`
 }
 
-// newReport works the results out. Latencies are of whole answers alone; the
-// attainment counts every request inside the rate, whatever became of it.
+// newReport computes a report from the results of a run and from the stand-ins'
+// records before and after it. Latencies cover whole answers only; attainment
+// covers every request inside the rate, whatever its outcome.
 func newReport(w *Workload, results []Result, before, after records) *Report {
 	r := &Report{
 		Workload: w.Name, Seed: w.Seed, Requests: len(results), Seconds: w.Duration.Seconds(),
@@ -102,7 +112,7 @@
 	for i := range results {
 		result := &results[i]
 		r.Resumes += result.Resumes
-		if result.attained(w) {
+		if result.metObjectives(w) {
 			attained++
 		}
 		if result.Outcome != Whole {
@@ -124,102 +134,106 @@
 		byTeam[result.Arrival.Team] = append(byTeam[result.Arrival.Team], result)
 	}
 	sum := 0.0
-	var judged []Figures
-	for i, of := range byTeam {
-		f := figures(w, w.Teams[i].Name, of)
+	var rated []Figures
+	for i, teamResults := range byTeam {
+		f := newFigures(w, w.Teams[i].Name, teamResults)
 		r.Teams = append(r.Teams, f)
 		admitted := f.Requests - f.Outcomes[Refused]
-		inside := min(f.Outcomes[Refused], max(0, f.Inside-admitted))
-		r.RefusedInside += inside
-		r.RefusedOutside += f.Outcomes[Refused] - inside
-		if f.Inside > 0 {
-			judged = append(judged, f)
+		refusedInside := min(f.Outcomes[Refused], max(0, f.InsideRate-admitted))
+		r.RefusedInside += refusedInside
+		r.RefusedOutside += f.Outcomes[Refused] - refusedInside
+		if f.InsideRate > 0 {
+			rated = append(rated, f)
 			sum += f.Attainment
 		}
 	}
-	if len(judged) == 0 {
+	if len(rated) == 0 {
 		return
 	}
-	worst := slices.MinFunc(judged, func(a, b Figures) int { return cmp.Compare(a.Attainment, b.Attainment) })
+	worst := slices.MinFunc(rated, func(a, b Figures) int { return cmp.Compare(a.Attainment, b.Attainment) })
 	r.WorstTeam, r.WorstAttainment = worst.Name, worst.Attainment
 	if sum > 0 {
-		r.WorstToMean = worst.Attainment * float64(len(judged)) / sum
+		r.WorstToMean = worst.Attainment * float64(len(rated)) / sum
 	}
 }
 
-// addTotal adds the teams' figures up; latencies are of all requests.
+// addTotal computes the figures of all requests. Attained is the sum over the
+// teams, because each team's is limited to its own requests inside the rate.
 func (r *Report) addTotal(w *Workload, results []Result) {
-	r.Total = figures(w, "all", results)
+	r.Total = newFigures(w, "all", results)
 	r.Total.Attained = 0
 	for _, f := range r.Teams {
 		r.Total.Attained += f.Attained
 	}
-	r.Total.Attainment = share(r.Total.Attained, r.Total.Inside)
+	r.Total.Attainment = ratio(r.Total.Attained, r.Total.InsideRate)
 	r.Attainment = r.Total.Attainment
 }
 
-func share(part, whole int) float64 {
-	if whole == 0 {
+func ratio(part, total int) float64 {
+	if total == 0 {
 		return 0
 	}
-	return float64(part) / float64(whole)
+	return float64(part) / float64(total)
 }
 
 func (r *Report) addRecords(w *Workload, before, after records) {
 	r.Moves = after.moves - before.moves
 	r.Overcommits = after.overcommits - before.overcommits
 	r.Executions = after.executions - before.executions
-	r.MostPerBody = after.mostPerBody
-	r.RecordsMissing = after.missing
+	r.MaxExecutionsPerBody = after.maxExecutionsPerBody
+	r.MissingRecords = after.missingURLs
 	if prompt := after.promptTokens - before.promptTokens; prompt > 0 {
 		r.PrefixHitShare = float64(after.cachedTokens-before.cachedTokens) / float64(prompt)
 	}
 	r.GeneratedPerSecond = float64(after.generatedTokens-before.generatedTokens) / r.Seconds
 	if len(w.Engines) > 0 {
-		r.Busy = (after.busySeconds - before.busySeconds) / r.Seconds / float64(len(w.Engines))
+		r.BatchBusyShare = (after.busySeconds - before.busySeconds) / r.Seconds / float64(len(w.Engines))
 	}
 }
 
-func figures(w *Workload, name string, results []Result) Figures {
+func newFigures(w *Workload, name string, results []Result) Figures {
 	f := Figures{Name: name, Requests: len(results), Outcomes: make(map[Outcome]int)}
-	first, between, total := histogram(), histogram(), histogram()
+	firstToken, betweenTokens, total := newHistogram(), newHistogram(), newHistogram()
 	for i := range results {
 		r := &results[i]
 		f.Outcomes[r.Outcome]++
-		if r.Inside {
-			f.Inside++
+		if r.InsideRate {
+			f.InsideRate++
 		}
-		if r.attained(w) {
+		if r.metObjectives(w) {
 			f.Attained++
 		}
 		if r.Outcome != Whole {
 			continue
 		}
-		record(first, r.FirstToken)
-		record(total, r.Total)
-		for _, gap := range r.Gaps {
-			record(between, gap)
+		recordLatency(firstToken, r.FirstToken)
+		recordLatency(total, r.Total)
+		for _, gap := range r.TokenGaps {
+			recordLatency(betweenTokens, gap)
 		}
 	}
-	f.Attained = min(f.Attained, f.Inside)
-	f.Attainment = share(f.Attained, f.Inside)
-	f.FirstToken, f.BetweenTokens, f.Total = quantiles(first), quantiles(between), quantiles(total)
+	f.Attained = min(f.Attained, f.InsideRate)
+	f.Attainment = ratio(f.Attained, f.InsideRate)
+	f.FirstToken, f.BetweenTokens, f.Total = newQuantiles(firstToken), newQuantiles(betweenTokens), newQuantiles(total)
 	return f
 }
 
-// The histograms hold microseconds up to ten minutes, to three digits.
+// The latency histograms hold microseconds up to ten minutes, to three
+// significant digits.
 const (
-	longestMicros = 600_000_000
-	digits        = 3
+	maxLatencyMicros  = 600_000_000
+	significantDigits = 3
 )
 
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestMicros, digits) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxLatencyMicros, significantDigits)
+}
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), longestMicros))
+func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxLatencyMicros))
 }
 
-func quantiles(h *hdrhistogram.Histogram) Quantiles {
-	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	return Quantiles{P50: at(50), P95: at(95), P99: at(99), Max: float64(h.Max()) / 1000}
+func newQuantiles(h *hdrhistogram.Histogram) Quantiles {
+	percentile := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
+	return Quantiles{P50: percentile(50), P95: percentile(95), P99: percentile(99), Max: float64(h.Max()) / 1000}
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -12,13 +12,13 @@
 	"github.com/pkg/errors"
 )
 
-// ErrNoCertificates means that a CA file holds no certificate.
+// ErrNoCertificates means that a CA file contains no certificate.
 var ErrNoCertificates = errors.New("load: no certificates in CA file")
 
-const idleConnections = 10_000
+const maxIdleConnections = 10_000
 
-// Run makes the workload's requests and reports on them. It ends early, with
-// the report so far, when ctx ends.
+// Run sends the workload's requests and reports on them. If ctx ends, Run ends
+// early and returns the report of the requests until then.
 func Run(ctx context.Context, w *Workload) (*Report, error) {
 	client, err := newClient(w)
 	if err != nil {
@@ -26,18 +26,18 @@
 	}
 	schedule := Schedule(w)
 	if len(schedule) == 0 {
-		return nil, errors.WithStack(ErrNothingToDo)
+		return nil, errors.WithStack(ErrNoRequests)
 	}
 	before := readRecords(ctx, w)
 	r := newRunner(w, client)
-	r.drive(ctx, schedule)
+	r.sendAll(ctx, schedule)
 	client.CloseIdleConnections()
 	after := readRecords(ctx, w)
 	return newReport(w, r.results, before, after), nil
 }
 
 func newClient(w *Workload) (*http.Client, error) {
-	transport := &http.Transport{MaxIdleConns: idleConnections, MaxIdleConnsPerHost: idleConnections}
+	transport := &http.Transport{MaxIdleConns: maxIdleConnections, MaxIdleConnsPerHost: maxIdleConnections}
 	if w.CAFile != "" {
 		data, err := os.ReadFile(w.CAFile)
 		if err != nil {
@@ -52,12 +52,12 @@
 	return &http.Client{Transport: transport}, nil
 }
 
-// runner holds the callers and collects the results.
+// runner sends the requests of a run and collects their results.
 type runner struct {
 	workload *Workload
 	callers  map[callerKey]*caller
 	buckets  []*bucket
-	room     chan struct{}
+	inFlight chan struct{}
 
 	mu      sync.Mutex
 	results []Result
@@ -66,41 +66,43 @@
 type callerKey struct{ team, call, caller int }
 
 func newRunner(w *Workload, client *http.Client) *runner {
-	r := &runner{workload: w, callers: make(map[callerKey]*caller), room: make(chan struct{}, w.MaxInFlight)}
-	number := 0
+	r := &runner{workload: w, callers: make(map[callerKey]*caller), inFlight: make(chan struct{}, w.MaxInFlight)}
+	callerCount := 0
 	for t := range w.Teams {
 		r.buckets = append(r.buckets, newBucket(w.Teams[t].Rate, w.Teams[t].Burst, time.Now()))
 		for c := range w.Teams[t].Calls {
 			for i := range w.Teams[t].Calls[c].Callers {
-				r.callers[callerKey{t, c, i}] = &caller{client: client, entries: w.Entries, asked: number}
-				number++
+				r.callers[callerKey{t, c, i}] = &caller{client: client, entries: w.Entries, entryIndex: callerCount}
+				callerCount++
 			}
 		}
 	}
 	return r
 }
 
-// drive sends every arrival at its time, whatever has become of those before.
-func (r *runner) drive(ctx context.Context, schedule []Arrival) {
+// sendAll starts every request at its scheduled time, whether or not earlier
+// requests have ended. After the workload's duration it waits for answers for at
+// most the drain time.
+func (r *runner) sendAll(ctx context.Context, schedule []Arrival) {
 	start := time.Now()
-	ending, cancel := context.WithDeadline(ctx, start.Add(r.workload.Duration+r.workload.Drain))
+	drainCtx, cancel := context.WithDeadline(ctx, start.Add(r.workload.Duration+r.workload.Drain))
 	defer cancel()
 	var group sync.WaitGroup
 	for _, a := range schedule {
 		due := start.Add(a.At)
-		wait(ctx, time.Until(due))
+		sleep(ctx, time.Until(due))
 		if ctx.Err() != nil {
 			break
 		}
 		select {
-		case r.room <- struct{}{}:
+		case r.inFlight <- struct{}{}:
 		default:
-			r.add(Result{Arrival: a, Outcome: NotSent, Reason: "too many in flight", Inside: true})
+			r.addResult(Result{Arrival: a, Outcome: NotSent, Reason: "too many in flight", InsideRate: true})
 			continue
 		}
 		group.Go(func() {
-			defer func() { <-r.room }()
-			r.send(ending, a, due)
+			defer func() { <-r.inFlight }()
+			r.send(drainCtx, a, due)
 		})
 	}
 	group.Wait()
@@ -109,29 +111,30 @@
 func (r *runner) send(ctx context.Context, a Arrival, due time.Time) {
 	team := &r.workload.Teams[a.Team]
 	cost := r.workload.cost(a)
-	inside := r.buckets[a.Team].take(cost, due)
+	insideRate := r.buckets[a.Team].admit(cost, due)
 	x := &exchange{
 		workload: r.workload, team: team, call: &team.Calls[a.Call], arrival: a,
 		caller: r.callers[callerKey{a.Team, a.Call, a.Caller}], due: due,
 	}
 	result := x.run(ctx)
-	result.Inside = inside
-	if inside {
-		r.buckets[a.Team].refund(unused(x), time.Now())
+	result.InsideRate = insideRate
+	if insideRate {
+		r.buckets[a.Team].refund(unusedTokens(x), time.Now())
 	}
-	r.add(result)
+	r.addResult(result)
 }
 
-// unused is the part of a request's cost that its end gives back, whether the
-// system ran it or not: the ideal bucket knows only what it admitted itself.
-func unused(x *exchange) int64 {
+// unusedTokens returns the part of a request's cost that is refunded when the
+// request ends. It does not depend on whether the system ran the request: the
+// ideal bucket accounts only for what it admitted itself.
+func unusedTokens(x *exchange) int64 {
 	if x.call.Kind == KindAction {
 		return 0
 	}
-	return int64(x.call.MaxTokens - x.expected().Tokens)
+	return int64(x.call.MaxTokens - x.expectedGeneration().Tokens)
 }
 
-func (r *runner) add(result Result) {
+func (r *runner) addResult(result Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.results = append(r.results, result)
--- a/internal/load/schedule.go
+++ b/internal/load/schedule.go
@@ -10,33 +10,35 @@
 	"github.com/chestnutarch/chestnutarch/internal/standin"
 )
 
-// movingShare is the part of "moving" demand that the favoured model gets.
-const movingShare = 0.8
+// movingModelShare is the share of "moving" requests that ask for the model of
+// the current period. The others are spread over all models.
+const movingModelShare = 0.8
 
 // Arrival is one request of the schedule.
 type Arrival struct {
-	// At is when it comes, from the start of the run.
+	// At is the time of arrival from the start of the run.
 	At time.Duration
-	// Team and Call index the workload.
+	// Team is the index of the team in the workload, Call that of the call in
+	// the team.
 	Team, Call int
-	// Caller says which of the call's callers makes it.
+	// Caller is the index of the caller among those of the call.
 	Caller int
-	// Model is what is asked for; empty for an action.
+	// Model is the requested model or adapter, empty for an action.
 	Model string
-	// Prompt is the prompt, or an action's body.
+	// Prompt is the prompt, or the body of an action.
 	Prompt string
 	// ID is unique in the schedule.
 	ID string
 }
 
-// Schedule lists every arrival of a workload in order of time. The same seed
-// gives the same schedule.
+// Schedule returns all arrivals of a workload in order of time. The same
+// workload and seed give the same schedule.
 func Schedule(w *Workload) []Arrival {
 	var all []Arrival
 	for t := range w.Teams {
 		for c := range w.Teams[t].Calls {
 			g := generator{
-				workload: w, call: &w.Teams[t].Calls[c], team: t, index: c,
+				workload: w, call: &w.Teams[t].Calls[c], teamIndex: t, callIndex: c,
 				random: rand.New(rand.NewPCG(w.Seed, uint64(t)<<32|uint64(c))),
 			}
 			all = append(all, g.arrivals()...)
@@ -46,13 +48,14 @@
 	return all
 }
 
+// generator creates the arrivals of one call.
 type generator struct {
-	workload *Workload
-	call     *Call
-	team     int
-	index    int
-	made     int
-	random   *rand.Rand
+	workload  *Workload
+	call      *Call
+	teamIndex int
+	callIndex int
+	count     int
+	random    *rand.Rand
 }
 
 func (g *generator) arrivals() []Arrival {
@@ -62,30 +65,31 @@
 	var all []Arrival
 	at := time.Duration(0)
 	for {
-		gap := g.random.ExpFloat64() / (g.call.Rate * g.factor(at))
+		gap := g.random.ExpFloat64() / (g.call.Rate * g.rateFactor(at))
 		at += time.Duration(gap * float64(time.Second))
 		if at >= g.workload.Duration {
 			return all
 		}
-		all = append(all, g.arrival(at, g.random.IntN(g.call.Callers)))
+		all = append(all, g.newArrival(at, g.random.IntN(g.call.Callers)))
 	}
 }
 
-func (g *generator) factor(at time.Duration) float64 {
+func (g *generator) rateFactor(at time.Duration) float64 {
 	if g.call.Shape == ShapeSurge && at >= g.call.From && at < g.call.Until {
 		return g.call.Factor
 	}
 	return 1
 }
 
-// flashCrowd spreads the first calls of all callers over the window.
+// flashCrowd spreads the first calls of all callers evenly at random over the
+// window.
 func (g *generator) flashCrowd() []Arrival {
 	var all []Arrival
 	for caller := range g.call.Callers {
 		at := time.Duration(g.random.Float64() * float64(g.call.Window))
 		for range g.call.CallsPerCaller {
 			if at < g.workload.Duration {
-				all = append(all, g.arrival(at, caller))
+				all = append(all, g.newArrival(at, caller))
 			}
 			at += time.Duration(g.random.ExpFloat64() * float64(g.call.Pause))
 		}
@@ -93,40 +97,43 @@
 	return all
 }
 
-func (g *generator) arrival(at time.Duration, caller int) Arrival {
-	g.made++
-	a := Arrival{At: at, Team: g.team, Call: g.index, Caller: caller}
-	a.ID = fmt.Sprintf("%d-%d-%d-%d", g.workload.Seed, g.team, g.index, g.made)
+func (g *generator) newArrival(at time.Duration, caller int) Arrival {
+	g.count++
+	a := Arrival{At: at, Team: g.teamIndex, Call: g.callIndex, Caller: caller}
+	a.ID = fmt.Sprintf("%d-%d-%d-%d", g.workload.Seed, g.teamIndex, g.callIndex, g.count)
 	if g.call.Kind != KindAction {
-		a.Model = g.model(at)
+		a.Model = g.pickModel(at)
 	}
-	a.Prompt = g.prompt(a.ID)
+	a.Prompt = g.newPrompt(a.ID)
 	return a
 }
 
-// model picks what is asked for: the first models more often than the last, as
-// demand is, or for moving demand mostly the one whose turn it is.
-func (g *generator) model(at time.Duration) string {
+// pickModel chooses the model of a request. Earlier models in the list are more
+// popular than later ones, because real demand is skewed. With "moving" demand,
+// most requests ask for the model of the current period.
+func (g *generator) pickModel(at time.Duration) string {
 	models := g.call.Models
-	if g.call.Shape == ShapeMoving && g.random.Float64() < movingShare {
+	if g.call.Shape == ShapeMoving && g.random.Float64() < movingModelShare {
 		return models[int(at/g.call.Period)%len(models)]
 	}
 	x := g.random.Float64()
 	return models[int(x*x*float64(len(models)))]
 }
 
-// prompt is one of the shared beginnings and a part of its own.
-func (g *generator) prompt(id string) string {
+// newPrompt returns a prompt of one of the shared prefixes, if there are any, and
+// a unique part.
+func (g *generator) newPrompt(id string) string {
 	var b strings.Builder
 	if g.call.Prefixes > 0 {
-		fill(&b, fmt.Sprintf("manual %d of team %d", g.random.IntN(g.call.Prefixes), g.team), g.call.PrefixTokens)
+		writeTokens(&b, fmt.Sprintf("manual %d of team %d", g.random.IntN(g.call.Prefixes), g.teamIndex), g.call.PrefixTokens)
 	}
-	fill(&b, "request "+id, g.call.PromptTokens)
+	writeTokens(&b, "request "+id, g.call.PromptTokens)
 	return b.String()
 }
 
-// fill writes text that a stand-in engine counts as so many tokens.
-func fill(b *strings.Builder, text string, tokens int) {
+// writeTokens appends text that a stand-in engine counts as the given number of
+// tokens. It repeats the text as often as needed.
+func writeTokens(b *strings.Builder, text string, tokens int) {
 	end := b.Len() + tokens*bytesPerToken
 	for b.Len() < end {
 		b.WriteString(text[:min(len(text), end-b.Len())])
@@ -136,21 +143,23 @@
 	}
 }
 
-// bytesPerToken is how the stand-in engines count.
+// bytesPerToken is the number of bytes that the stand-in engines count as one
+// token.
 const bytesPerToken = 4
 
-// cost is what an arrival takes from its team's rate: the prompt and the most
-// that may be generated, or an action's cost.
+// cost returns the number of tokens that an arrival is charged against its
+// team's rate: the prompt and the largest number of generated tokens, or the
+// cost of an action.
 func (w *Workload) cost(a Arrival) int64 {
 	call := &w.Teams[a.Team].Calls[a.Call]
 	if call.Kind == KindAction {
 		return call.Cost
 	}
-	return int64(standin.PromptTokens(call.text(a)) + call.MaxTokens)
+	return int64(standin.PromptTokens(call.promptText(a)) + call.MaxTokens)
 }
 
-// text is the prompt as the engine sees it.
-func (c *Call) text(a Arrival) string {
+// promptText returns the prompt in the form in which the engine receives it.
+func (c *Call) promptText(a Arrival) string {
 	if c.Kind == KindChat {
 		return standin.ChatPrompt(c.messages(a))
 	}
--- a/internal/load/workload.go
+++ b/internal/load/workload.go
@@ -13,30 +13,33 @@
 )
 
 var (
-	// ErrNothingToDo means that a workload has no entries, teams or calls.
-	ErrNothingToDo = errors.New("load: nothing to do")
-	// ErrBadSetting means that a setting's value makes no sense.
-	ErrBadSetting = errors.New("load: bad setting")
+	// ErrNoRequests means that a workload makes no requests, because it has no
+	// entries or teams, a call has no models or path, or no arrival falls within
+	// the duration.
+	ErrNoRequests = errors.New("load: workload makes no requests")
+	// ErrInvalidSetting means that a setting's value is not valid.
+	ErrInvalidSetting = errors.New("load: invalid setting")
 )
 
-// Shape is how arrivals are spread over the run.
+// Shape is the distribution of arrivals over the run.
 type Shape string
 
 // The shapes of arrival.
 const (
 	// ShapeSteady is a Poisson process.
 	ShapeSteady Shape = "steady"
-	// ShapeFlashCrowd is a crowd of callers that all come within a window; each
-	// then makes its calls one after the other with pauses.
+	// ShapeFlashCrowd is a number of callers that all arrive within a window.
+	// Each then makes its calls at intervals around a mean pause.
 	ShapeFlashCrowd Shape = "flash_crowd"
-	// ShapeMoving is a Poisson process whose demand moves from one model to
-	// the next.
+	// ShapeMoving is a Poisson process most of whose requests ask for one model,
+	// which changes with each period.
 	ShapeMoving Shape = "moving"
-	// ShapeSurge is a Poisson process that multiplies for a part of the run.
+	// ShapeSurge is a Poisson process whose rate is multiplied for a part of the
+	// run.
 	ShapeSurge Shape = "surge"
 )
 
-// Kind is what a call asks for.
+// Kind is the kind of request that a call makes.
 type Kind string
 
 // The kinds of call.
@@ -46,107 +49,115 @@
 	KindAction     Kind = "action"
 )
 
-// Workload is one run.
+// Workload describes the load of one run.
 type Workload struct {
-	// Name stands over the report.
+	// Name is the heading of the report.
 	Name string `yaml:"name"`
-	// Entries are the base URLs that callers may ask for an address.
+	// Entries are the base URLs of the entry VMs that callers query for
+	// addresses. Each has an IP address and a port.
 	Entries []string `yaml:"entries"`
-	// CAFile holds the certificates that callers trust. The default is the
-	// system's.
+	// CAFile is a PEM file of the CA certificates that callers trust. The
+	// default is the system's certificates.
 	CAFile string `yaml:"ca_file"`
-	// Engines are the URLs of the stand-in engines whose records give moves
-	// and cached prompts. Each counts as one accelerator.
+	// Engines are the URLs of the stand-in engines whose records give model
+	// loads and unloads, and tokens. Each counts as one accelerator.
 	Engines []string `yaml:"engines"`
 	// Services are the URLs of the stand-in services whose records give
 	// executions.
 	Services []string `yaml:"services"`
-	// Accelerators replaces the number of engines in the measure.
+	// Accelerators is the number of accelerators in the figures per accelerator.
+	// The default is the number of engines.
 	Accelerators int `yaml:"accelerators"`
-	// Seed makes the schedule. The default is 1.
+	// Seed is the seed of the schedule. The default is 1.
 	Seed uint64 `yaml:"seed"`
-	// Duration is how long arrivals go on. The default is 60s.
+	// Duration is the time during which requests arrive. The default is 60s.
 	Duration time.Duration `yaml:"duration"`
-	// Drain is how long the run waits for answers after that. The default is
-	// 60s.
+	// Drain is the longest time that the run waits for answers after Duration.
+	// The default is 60s.
 	Drain time.Duration `yaml:"drain"`
-	// FirstToken and BetweenTokens are the latency objectives. The defaults
+	// FirstToken and BetweenTokens are the latency objectives: the longest time
+	// to the first token and the longest mean time between tokens. The defaults
 	// are 760ms and 52ms.
 	FirstToken    time.Duration `yaml:"first_token"`
 	BetweenTokens time.Duration `yaml:"between_tokens"`
-	// MaxInFlight bounds the requests in flight; arrivals beyond it are
-	// counted as not sent. The default is 20000.
+	// MaxInFlight bounds the number of requests in flight. Arrivals beyond it
+	// are counted as not sent. The default is 20000.
 	MaxInFlight int `yaml:"max_in_flight"`
-	// Resumes is how often a caller takes up a broken stream. The default is
-	// 3.
-	Resumes int `yaml:"resumes"`
-	// Teams are who calls.
+	// MaxResumes is the largest number of attempts to resume a broken stream.
+	// The default is 3.
+	MaxResumes int `yaml:"resumes"`
+	// Teams are the teams that send requests.
 	Teams []Team `yaml:"teams"`
 }
 
 // Team is one tenant's load.
 type Team struct {
-	// Name is the team's.
+	// Name is the team's name in the report.
 	Name string `yaml:"name"`
-	// Key is what its callers present.
+	// Key is the API key that the team's callers present.
 	Key string `yaml:"key"`
-	// Rate and Burst are the team's in the document. They decide which refused
-	// requests were inside the rate. A rate of 0 means that all were.
+	// Rate and Burst are the team's rate in tokens per second and its burst in
+	// tokens, as in the environment document. They decide which refused requests
+	// were inside the rate. With a rate of 0, all were.
 	Rate  int64 `yaml:"rate"`
 	Burst int64 `yaml:"burst"`
-	// Calls are the kinds of load that the team makes.
+	// Calls are the streams of requests that the team sends.
 	Calls []Call `yaml:"calls"`
 }
 
-// Call is one kind of load.
+// Call describes a stream of requests of one kind.
 type Call struct {
-	// Kind is what is asked for.
+	// Kind is the kind of request.
 	Kind Kind `yaml:"kind"`
-	// Shape is how arrivals are spread. The default is "steady".
+	// Shape is the distribution of arrivals. The default is "steady".
 	Shape Shape `yaml:"shape"`
-	// Rate is arrivals per second; it is not used by "flash_crowd".
+	// Rate is the mean number of arrivals per second. "flash_crowd" does not use
+	// it.
 	Rate float64 `yaml:"rate"`
-	// Callers is how many callers there are, each with its own address answer.
-	// The default is 20.
+	// Callers is the number of callers, each with its own cached addresses. The
+	// default is 20.
 	Callers int `yaml:"callers"`
-	// Window is how long a flash crowd takes to arrive. The default is 60s.
+	// Window is the time in which all callers of a "flash_crowd" arrive. The
+	// default is 60s.
 	Window time.Duration `yaml:"window"`
-	// CallsPerCaller is how many calls each of a flash crowd makes. The default
-	// is 1.
+	// CallsPerCaller is the number of calls of each caller of a "flash_crowd".
+	// The default is 1.
 	CallsPerCaller int `yaml:"calls_per_caller"`
-	// Pause is the mean time between the calls of one of a flash crowd. The
-	// default is 10s.
+	// Pause is the mean time between two calls of one caller of a "flash_crowd".
+	// The default is 10s.
 	Pause time.Duration `yaml:"pause"`
-	// Period is how long "moving" demand stays with one model. The default is
-	// 10s.
+	// Period is the time after which "moving" demand changes to the next model.
+	// The default is 10s.
 	Period time.Duration `yaml:"period"`
-	// Factor, From and Until say how many times the rate a "surge" has, and
-	// when. The defaults are 5, a third and two thirds of the duration.
+	// Factor multiplies the rate of a "surge" between the times From and Until
+	// from the start of the run. The defaults are 5, a third of the duration
+	// and two thirds of the duration.
 	Factor float64       `yaml:"factor"`
 	From   time.Duration `yaml:"from"`
 	Until  time.Duration `yaml:"until"`
-	// Models are the models or adapters that are asked for.
+	// Models are the names of the models or adapters that are requested.
 	Models []string `yaml:"models"`
-	// Prefixes is how many different long beginnings prompts share, and
-	// PrefixTokens how long each is.
+	// Prefixes is the number of different prefixes that prompts share, and
+	// PrefixTokens the length of each. The default is no shared prefix.
 	Prefixes     int `yaml:"prefixes"`
 	PrefixTokens int `yaml:"prefix_tokens"`
-	// PromptTokens is the length of a prompt's own part. The default is 50.
+	// PromptTokens is the length of the part of a prompt that no other prompt
+	// has. The default is 50.
 	PromptTokens int `yaml:"prompt_tokens"`
-	// MaxTokens is the most that is generated. The default is 64.
+	// MaxTokens is the largest number of tokens to generate. The default is 64.
 	MaxTokens int `yaml:"max_tokens"`
 	// Path is an action's path below "/services".
 	Path string `yaml:"path"`
-	// Keyed gives every action an Idempotency-Key.
+	// Keyed adds an Idempotency-Key header to every action.
 	Keyed bool `yaml:"keyed"`
-	// Cost is an action's cost in tokens. The default is 1.
+	// Cost is the cost of an action in tokens. The default is 1.
 	Cost int64 `yaml:"cost"`
-	// Timeout is the caller's deadline. The default is 30s.
+	// Timeout is the caller's deadline for a request. The default is 30s.
 	Timeout time.Duration `yaml:"timeout"`
 }
 
-// ReadWorkload reads a workload and fills in the defaults. A mistake is a
-// *strictyaml.FieldError.
+// ReadWorkload reads a workload from a file and sets the defaults. An invalid
+// workload gives a *strictyaml.FieldError.
 func ReadWorkload(path string) (*Workload, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -155,75 +166,76 @@
 	return ParseWorkload(path, data)
 }
 
-// ParseWorkload reads a workload; file is its name in errors.
+// ParseWorkload parses a workload, sets the defaults and validates it; file is
+// its name in errors.
 func ParseWorkload(file string, data []byte) (*Workload, error) {
 	var w Workload
 	source, err := strictyaml.Decode(data, file, &w)
 	if err != nil {
 		return nil, err
 	}
-	w.fill()
-	if path, err := w.check(); err != nil {
+	w.setDefaults()
+	if path, err := w.validate(); err != nil {
 		return nil, source.At(path, err)
 	}
 	return &w, nil
 }
 
-func orDefault[T comparable](v *T, d T) {
+func setDefault[T comparable](v *T, d T) {
 	var zero T
 	if *v == zero {
 		*v = d
 	}
 }
 
-func (w *Workload) fill() {
-	orDefault(&w.Seed, 1)
-	orDefault(&w.Duration, time.Minute)
-	orDefault(&w.Drain, time.Minute)
-	orDefault(&w.FirstToken, 760*time.Millisecond)
-	orDefault(&w.BetweenTokens, 52*time.Millisecond)
-	orDefault(&w.MaxInFlight, 20_000)
-	orDefault(&w.Resumes, 3)
-	orDefault(&w.Accelerators, len(w.Engines))
+func (w *Workload) setDefaults() {
+	setDefault(&w.Seed, 1)
+	setDefault(&w.Duration, time.Minute)
+	setDefault(&w.Drain, time.Minute)
+	setDefault(&w.FirstToken, 760*time.Millisecond)
+	setDefault(&w.BetweenTokens, 52*time.Millisecond)
+	setDefault(&w.MaxInFlight, 20_000)
+	setDefault(&w.MaxResumes, 3)
+	setDefault(&w.Accelerators, len(w.Engines))
 	for i := range w.Teams {
 		for j := range w.Teams[i].Calls {
-			w.Teams[i].Calls[j].fill(w.Duration)
+			w.Teams[i].Calls[j].setDefaults(w.Duration)
 		}
 	}
 }
 
-func (c *Call) fill(duration time.Duration) {
-	orDefault(&c.Shape, ShapeSteady)
-	orDefault(&c.Callers, 20)
-	orDefault(&c.Window, time.Minute)
-	orDefault(&c.CallsPerCaller, 1)
-	orDefault(&c.Pause, 10*time.Second)
-	orDefault(&c.Period, 10*time.Second)
-	orDefault(&c.Factor, 5)
-	orDefault(&c.From, duration/3)
-	orDefault(&c.Until, duration*2/3)
-	orDefault(&c.PromptTokens, 50)
-	orDefault(&c.MaxTokens, 64)
-	orDefault(&c.Cost, 1)
-	orDefault(&c.Timeout, 30*time.Second)
+func (c *Call) setDefaults(duration time.Duration) {
+	setDefault(&c.Shape, ShapeSteady)
+	setDefault(&c.Callers, 20)
+	setDefault(&c.Window, time.Minute)
+	setDefault(&c.CallsPerCaller, 1)
+	setDefault(&c.Pause, 10*time.Second)
+	setDefault(&c.Period, 10*time.Second)
+	setDefault(&c.Factor, 5)
+	setDefault(&c.From, duration/3)
+	setDefault(&c.Until, duration*2/3)
+	setDefault(&c.PromptTokens, 50)
+	setDefault(&c.MaxTokens, 64)
+	setDefault(&c.Cost, 1)
+	setDefault(&c.Timeout, 30*time.Second)
 }
 
-// check returns the path of the first setting that is wrong.
-func (w *Workload) check() (string, error) {
+// validate returns the path of the first invalid setting, and why it is invalid.
+func (w *Workload) validate() (string, error) {
 	if len(w.Entries) == 0 {
-		return "entries", ErrNothingToDo
+		return "entries", ErrNoRequests
 	}
 	for i, entry := range w.Entries {
-		if !ipURL(entry) {
-			return fmt.Sprintf("entries[%d]", i), errors.Wrap(ErrBadSetting, "not a URL with an IP address and port")
+		if !isIPURL(entry) {
+			return fmt.Sprintf("entries[%d]", i), errors.Wrap(ErrInvalidSetting, "not a URL with an IP address and port")
 		}
 	}
 	if len(w.Teams) == 0 {
-		return "teams", ErrNothingToDo
+		return "teams", ErrNoRequests
 	}
 	for i, team := range w.Teams {
 		for j, call := range team.Calls {
-			if name, err := call.check(); err != nil {
+			if name, err := call.validate(); err != nil {
 				return fmt.Sprintf("teams[%d].calls[%d].%s", i, j, name), err
 			}
 		}
@@ -231,32 +243,32 @@
 	return "", nil
 }
 
-func ipURL(raw string) bool {
+func isIPURL(raw string) bool {
 	u, err := url.Parse(raw)
 	return err == nil && net.ParseIP(u.Hostname()) != nil && u.Port() != ""
 }
 
-func (c *Call) check() (string, error) {
+func (c *Call) validate() (string, error) {
 	switch c.Kind {
 	case KindChat, KindCompletion:
 		if len(c.Models) == 0 {
-			return "models", ErrNothingToDo
+			return "models", ErrNoRequests
 		}
 	case KindAction:
 		if c.Path == "" {
-			return "path", ErrNothingToDo
+			return "path", ErrNoRequests
 		}
 	default:
-		return "kind", errors.Wrap(ErrBadSetting, string(c.Kind))
+		return "kind", errors.Wrap(ErrInvalidSetting, string(c.Kind))
 	}
 	switch c.Shape {
 	case ShapeFlashCrowd:
 	case ShapeSteady, ShapeMoving, ShapeSurge:
 		if c.Rate <= 0 {
-			return "rate", errors.Wrap(ErrBadSetting, "must be over 0")
+			return "rate", errors.Wrap(ErrInvalidSetting, "must be greater than 0")
 		}
 	default:
-		return "shape", errors.Wrap(ErrBadSetting, string(c.Shape))
+		return "shape", errors.Wrap(ErrInvalidSetting, string(c.Shape))
 	}
 	return "", nil
 }
