--- a/internal/demo/show.go
+++ b/internal/demo/show.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	readyTimeout = 30 * time.Second
-	readyPause   = 100 * time.Millisecond
+	readyTimeout  = 30 * time.Second
+	retryInterval = 100 * time.Millisecond
 )
 
 const (
@@ -25,8 +25,9 @@
 	filingBody = `{"deed":"2026-118","name":"Ixchel"}`
 )
 
-// Show applies the document, waits until the system is ready, and prints one
-// streamed answer, one action, and curl lines to go on with.
+// Show applies the environment document, waits until the system is ready, and
+// prints one streamed answer, the answer to one action, and example curl
+// commands. It gives up after 30 s.
 func (s *System) Show(ctx context.Context, w io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -40,11 +41,11 @@
 	if err := s.awaitReady(ctx, "/readyz"); err != nil {
 		return err
 	}
-	address, err := s.address(ctx)
+	address, err := s.awaitAddress(ctx)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "the system says: use %s\n", address)
+	fmt.Fprintf(w, "address to use: %s\n", address)
 	if err := s.showStream(ctx, w, address); err != nil {
 		return err
 	}
@@ -58,14 +59,14 @@
 func (s *System) awaitReady(ctx context.Context, path string) error {
 	for _, port := range entryPorts {
 		for {
-			answer, err := call(ctx, http.MethodGet, "http://"+loopback(port)+path, "", "")
+			answer, err := sendRequest(ctx, http.MethodGet, "http://"+loopback(port)+path, "", "")
 			if err == nil {
 				answer.Body.Close()
 				if answer.StatusCode == http.StatusOK {
 					break
 				}
 			}
-			if err := pause(ctx); err != nil {
+			if err := waitToRetry(ctx); err != nil {
 				return err
 			}
 		}
@@ -73,16 +74,16 @@
 	return nil
 }
 
-func pause(ctx context.Context) error {
+func waitToRetry(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return errors.Wrap(ErrNotReady, ctx.Err().Error())
-	case <-time.After(readyPause):
+	case <-time.After(retryInterval):
 		return nil
 	}
 }
 
-func call(ctx context.Context, method, url, key, body string) (*http.Response, error) {
+func sendRequest(ctx context.Context, method, url, key, body string) (*http.Response, error) {
 	r, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -95,25 +96,25 @@
 	return answer, errors.WithStack(err)
 }
 
-// address asks which entry VM to use. The VMs learn by heartbeat of each other
-// that they are ready, so that the first answers may be empty.
-func (s *System) address(ctx context.Context) (string, error) {
+// awaitAddress returns the URL of the entry VM to use. The VMs exchange their
+// readiness by heartbeats, so the first answers may be empty.
+func (s *System) awaitAddress(ctx context.Context) (string, error) {
 	for {
-		addresses, err := askAddresses(ctx)
+		addresses, err := fetchAddresses(ctx)
 		if err != nil {
 			return "", err
 		}
 		if len(addresses) > 0 {
 			return addresses[0].URL, nil
 		}
-		if err := pause(ctx); err != nil {
+		if err := waitToRetry(ctx); err != nil {
 			return "", err
 		}
 	}
 }
 
-func askAddresses(ctx context.Context) ([]caller.Address, error) {
-	answer, err := call(ctx, http.MethodGet, "http://"+loopback(entryPorts[0])+"/v1/addresses", "", "")
+func fetchAddresses(ctx context.Context) ([]caller.Address, error) {
+	answer, err := sendRequest(ctx, http.MethodGet, "http://"+loopback(entryPorts[0])+"/v1/addresses", "", "")
 	if err != nil {
 		return nil, err
 	}
@@ -125,11 +126,12 @@
 	return body.Addresses, errors.WithStack(err)
 }
 
-// showStream prints a streamed answer. The model is loaded in the first
-// seconds, so that a refusal as not run is tried again until it serves.
+// showStream prints a streamed answer. The model is loaded during the first
+// seconds, so the request is retried while it is refused as not run, with
+// status 503.
 func (s *System) showStream(ctx context.Context, w io.Writer, address string) error {
 	for {
-		answer, err := call(ctx, http.MethodPost, address+"/v1/chat/completions", StudioKey, chatBody)
+		answer, err := sendRequest(ctx, http.MethodPost, address+"/v1/chat/completions", StudioKey, chatBody)
 		if err != nil {
 			return err
 		}
@@ -139,9 +141,9 @@
 		}
 		answer.Body.Close()
 		if answer.StatusCode != http.StatusServiceUnavailable {
-			return errors.Wrapf(ErrAnswer, "status %d", answer.StatusCode)
+			return errors.Wrapf(ErrUnexpectedAnswer, "chat completion: status %d, want 200", answer.StatusCode)
 		}
-		if err := pause(ctx); err != nil {
+		if err := waitToRetry(ctx); err != nil {
 			return err
 		}
 	}
@@ -158,11 +160,11 @@
 			return nil
 		}
 	}
-	return errors.Wrap(ErrAnswer, "the stream has no end")
+	return errors.Wrap(ErrUnexpectedAnswer, "chat completion: stream ended without [DONE]")
 }
 
 func (s *System) showAction(ctx context.Context, w io.Writer, address string) error {
-	answer, err := call(ctx, http.MethodPost, address+"/services/registry/filings", StudioKey, filingBody)
+	answer, err := sendRequest(ctx, http.MethodPost, address+"/services/registry/filings", StudioKey, filingBody)
 	if err != nil {
 		return err
 	}
@@ -172,7 +174,7 @@
 		return errors.WithStack(err)
 	}
 	if answer.StatusCode != http.StatusOK {
-		return errors.Wrapf(ErrAnswer, "status %d: %s", answer.StatusCode, body)
+		return errors.Wrapf(ErrUnexpectedAnswer, "action: status %d, want 200: %s", answer.StatusCode, body)
 	}
 	fmt.Fprintf(w, "\none action, answered with status %d:\n  %s\n", answer.StatusCode, strings.TrimSpace(string(body)))
 	return nil
--- a/internal/demo/system.go
+++ b/internal/demo/system.go
@@ -24,14 +24,15 @@
 
 var (
 	// ErrNotReady means that the system did not become ready in time.
-	ErrNotReady = errors.New("demo: not ready in time")
-	// ErrAnswer means that an answer was not what it should have been.
-	ErrAnswer = errors.New("demo: unexpected answer")
+	ErrNotReady = errors.New("demo: system not ready in time")
+	// ErrUnexpectedAnswer means that the system answered a request with an
+	// unexpected status or an incomplete stream.
+	ErrUnexpectedAnswer = errors.New("demo: unexpected answer")
 	// ErrNotAccepted means that the environment document was not accepted.
-	ErrNotAccepted = errors.New("demo: document not accepted")
+	ErrNotAccepted = errors.New("demo: environment document not accepted")
 )
 
-// Keys of the demonstration. They are public: never use them elsewhere.
+// The keys of the demonstration. They are public: do not use them elsewhere.
 const (
 	StudioKey   = "studio-demo-key"
 	VisitorKey  = "visitor-demo-key"
@@ -44,8 +45,8 @@
 	plannerAddr = "127.0.0.1:7021"
 )
 
-// entryPorts are the first ports of the two entry VMs; operators and peers
-// follow.
+// entryPorts are the ports for callers of the two entry VMs. The port for
+// operators is the next one, the port for peers the one after that.
 var entryPorts = []int{7001, 7011}
 
 //go:embed standins.yaml
@@ -54,7 +55,7 @@
 //go:embed document.yaml
 var documentYAML string
 
-// secretBytes is the length of the secret that signs resume tokens.
+// secretBytes is the length in bytes of the secret that signs resume tokens.
 const secretBytes = 32
 
 // System is the running demonstration.
@@ -63,7 +64,7 @@
 	standins *standin.Group
 }
 
-// Start serves the stand-ins.
+// Start starts the stand-ins. Close stops them.
 func Start(log zerolog.Logger) (*System, error) {
 	config, err := standin.ParseConfig("standins.yaml", standinsYAML)
 	if err != nil {
@@ -76,10 +77,10 @@
 	return &System{log: log, standins: group}, nil
 }
 
-// Close ends the stand-ins.
+// Close stops the stand-ins.
 func (s *System) Close() { s.standins.Close() }
 
-// Run runs the entry VMs and the planner until ctx ends.
+// Run runs the entry VMs and the planner until ctx ends or one of them fails.
 func (s *System) Run(ctx context.Context) error {
 	secret := make([]byte, secretBytes)
 	rand.Read(secret)
@@ -144,7 +145,8 @@
 	).Replace(documentYAML)
 }
 
-// Apply has the document accepted through the first entry VM.
+// Apply submits the environment document to the first entry VM. It fails with
+// ErrNotAccepted unless the document took effect.
 func (s *System) Apply(ctx context.Context) error {
 	client := &operator.Client{Server: "http://" + loopback(entryPorts[0]+1), Key: OperatorKey, HTTP: http.DefaultClient}
 	answer, err := client.Apply(ctx, &operator.ApplyRequest{
