--- a/internal/capacity/main.go
+++ b/internal/capacity/main.go
@@ -1,6 +1,6 @@
-// Command capacity measures what each role costs at several sizes in one run,
-// fits a line through the figures and works out the target's size from it. It
-// steps the decision packages by plain loops, without a network.
+// Command capacity measures the cost of each role at several fleet sizes in one
+// run, fits a line through the figures and extrapolates it to the target size.
+// It runs the decision packages in plain loops, without a network.
 //
 //	go run ./internal/capacity            prints the table of docs/CAPACITY.md
 //	go run ./internal/capacity -html FILE draws the plots too
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -12,11 +12,11 @@
 	"github.com/pkg/errors"
 )
 
-// errPlots means that the file of the plots cannot be written.
-var errPlots = errors.New("capacity: cannot write the plots")
+// errPlots means that the file for the plots cannot be created.
+var errPlots = errors.New("capacity: cannot create the file for the plots")
 
-// writeTable prints a row for each series: what was measured at each size, the
-// line through it, and what it gives at the target's size.
+// writeTable prints a row for each series: the measured values, the slope of the
+// fitted line and its value at the target size.
 func writeTable(w io.Writer, all []series) {
 	fmt.Fprintln(w, "| role | what | unit | measured | slope | at the target |")
 	fmt.Fprintln(w, "|---|---|---|---|---|---|")
@@ -27,11 +27,12 @@
 		}
 		slope, _ := s.fit()
 		fmt.Fprintf(w, "| %s | %s | %s | by %s: %s | %.3g | %.0f: **%.3g** |\n",
-			s.role, s.name, s.unit, s.sizeName, strings.Join(measured, ", "), slope, s.target, s.atTarget())
+			s.role, s.name, s.unit, s.sizeName, strings.Join(measured, ", "), slope, s.target, s.valueAtTarget())
 	}
 }
 
-// writePlots draws each series with its line up to the target.
+// writePlots writes an HTML page with a plot of each series and its fitted line up
+// to the target size.
 func writePlots(file string, all []series) error {
 	page := components.NewPage()
 	for _, s := range all {
@@ -57,7 +58,7 @@
 		measured = append(measured, opts.LineData{Value: []float64{p.size, p.value}})
 	}
 	_, offset := s.fit()
-	fitted := []opts.LineData{{Value: []float64{0, offset}}, {Value: []float64{s.target, s.atTarget()}}}
+	fitted := []opts.LineData{{Value: []float64{0, offset}}, {Value: []float64{s.target, s.valueAtTarget()}}}
 	line.AddSeries("measured", measured).AddSeries("fitted", fitted)
 	return line
 }
--- a/internal/capacity/routing.go
+++ b/internal/capacity/routing.go
@@ -9,45 +9,48 @@
 )
 
 const (
-	// requestsPerVM is the target's 5,200 requests a second over 420 VMs.
-	requestsPerVM = 5200.0 / targetVMs
-	// picksMeasured is how many choices are timed at each size.
+	// requestsPerSecondAndVM is the target's 5,200 requests per second divided by
+	// 420 VMs.
+	requestsPerSecondAndVM = 5200.0 / targetVMs
+	// picksMeasured is the number of choices of an engine that are timed at each
+	// size.
 	picksMeasured = 2000
-	// fleetsPerSecond is how often a VM takes a new snapshot of the engines.
-	fleetsPerSecond = 2
-	fleetsMeasured  = 5
+	// snapshotsPerSecond is the number of new snapshots of the engines that a VM's
+	// router receives per second.
+	snapshotsPerSecond = 2
+	snapshotsMeasured  = 5
 )
 
-// measureRouting times the choice of an engine where one VM knows all engines,
-// and the taking of a new snapshot of them.
+// measureRouting times the choice of an engine by a VM that knows all engines, and
+// the update of its router with a new snapshot of them.
 func measureRouting() []series {
 	pick := series{role: "entry: routing", name: "choices at 12.4 requests/s", unit: "% of a core", sizeName: "engines known", target: targetEngines}
 	fleet := series{role: "entry: routing", name: "two snapshots a second", unit: "% of a core", sizeName: "engines known", target: targetEngines}
 	memory := series{role: "entry: routing", name: "memory", unit: "MB", sizeName: "engines known", target: targetEngines}
 	for _, n := range engineSizes {
-		before := heap()
+		before := heapBytes()
 		r := route.New(route.Options{})
-		f := engineFleet(n)
+		f := newEngineFleet(n)
 		r.SetFleet(f)
-		memory.add(n, (heap()-before)/megabyte)
-		fleet.add(n, timed(func() {
-			for range fleetsMeasured {
+		memory.add(n, (heapBytes()-before)/megabyte)
+		fleet.add(n, measureSeconds(func() {
+			for range snapshotsMeasured {
 				r.SetFleet(f)
 			}
-		})/fleetsMeasured*fleetsPerSecond*percent)
+		})/snapshotsMeasured*snapshotsPerSecond*percent)
 		rng := rand.New(rand.NewPCG(1, 1))
 		now := time.Unix(1, 0)
-		seconds := timed(func() {
+		seconds := measureSeconds(func() {
 			for range picksMeasured {
-				choose(r, now, n, rng)
+				routeRequest(r, now, n, rng)
 			}
 		})
-		pick.add(n, seconds/picksMeasured*requestsPerVM*percent)
+		pick.add(n, seconds/picksMeasured*requestsPerSecondAndVM*percent)
 	}
 	return []series{pick, fleet, memory}
 }
 
-func choose(r *route.Router, now time.Time, n int, rng *rand.Rand) {
+func routeRequest(r *route.Router, now time.Time, n int, rng *rand.Rand) {
 	item := route.Item{Model: fmt.Sprintf("model-%03d", rng.IntN(modelsFor(n)))}
 	e, err := r.Pick(route.Request{Item: item, Version: "v1", Prefix: route.Prefix(rng.Uint64())}, now, rng)
 	must(err)
@@ -55,8 +58,9 @@
 	r.Finished(e.Name, item, true, now)
 }
 
-// engineFleet is n engines that hold the models in turn, each with its adapters.
-func engineFleet(n int) *route.Fleet {
+// newEngineFleet returns n engines to which the models are assigned in turn, each
+// with its adapters.
+func newEngineFleet(n int) *route.Fleet {
 	f := &route.Fleet{}
 	models := modelsFor(n)
 	for i := range n {
@@ -67,7 +71,7 @@
 		for j := range modelsPerEngine {
 			model := fmt.Sprintf("model-%03d", (i*modelsPerEngine+j)%models)
 			e.Ready[route.Item{Model: model}] = []string{"v1"}
-			for k := range modelAdapters {
+			for k := range adaptersPerModel {
 				e.Ready[route.Item{Model: model, Adapter: fmt.Sprintf("adapter-%d", k)}] = []string{"v1"}
 			}
 		}
--- a/internal/capacity/series.go
+++ b/internal/capacity/series.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// point is one measured figure.
+// point is one measured value at one fleet size.
 type point struct {
 	size  float64
 	value float64
 }
 
-// series is one figure at several sizes.
+// series holds the measurements of one figure at several fleet sizes.
 type series struct {
-	// role is who bears the cost, name what is measured, unit its unit.
+	// role is the component that bears the cost, name the figure, unit its unit.
 	role, name, unit string
-	// sizeName says what the size counts.
+	// sizeName names the things that the size counts.
 	sizeName string
-	// target is the size to work out.
+	// target is the size for which the figure is extrapolated.
 	target float64
 	points []point
 }
 
-// fit returns the line of least squares through the points.
+// fit returns the least-squares line through the points.
 func (s *series) fit() (slope, offset float64) {
 	var n, sumX, sumY, sumXX, sumXY float64
 	for _, p := range s.points {
@@ -36,19 +36,20 @@
 	return slope, (sumY - slope*sumX) / n
 }
 
-// atTarget works the figure out for the target's size.
-func (s *series) atTarget() float64 {
+// valueAtTarget extrapolates the figure to the target size.
+func (s *series) valueAtTarget() float64 {
 	slope, offset := s.fit()
 	return offset + slope*s.target
 }
 
-// add appends a measured figure.
+// add appends a measured value.
 func (s *series) add(size int, value float64) {
 	s.points = append(s.points, point{size: float64(size), value: value})
 }
 
-// heap returns the bytes in use after a collection.
-func heap() float64 {
+// heapBytes returns the size in bytes of the heap objects after a garbage
+// collection.
+func heapBytes() float64 {
 	var stats runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -56,15 +57,15 @@
 	return float64(stats.HeapAlloc)
 }
 
-// timed returns how long run takes in seconds.
-func timed(run func()) float64 {
+// measureSeconds returns the duration of run in seconds.
+func measureSeconds(run func()) float64 {
 	start := time.Now()
 	run()
 	return time.Since(start).Seconds()
 }
 
 const (
-	// percent turns a share of a second of processor time into a share of a core.
+	// percent converts processor time in seconds per second into percent of a core.
 	percent  = 100
 	kilobyte = 1000
 	megabyte = 1e6
