--- a/internal/trafficmeasure/fairness.go
+++ b/internal/trafficmeasure/fairness.go
@@ -9,65 +9,67 @@
 	"github.com/chestnutarch/chestnutarch/internal/admit"
 )
 
-// The workload: five teams with equal shares before a pool that serves a fixed
-// number of tokens a second. One of them sends several times its share.
+// The workload: five teams with equal shares of a pool that serves a fixed number
+// of tokens per second. One of them sends several times its share.
 const (
-	teams          = 5
-	poolTokens     = 10000.0
-	requestTokens  = 100
-	requestWait    = 2 * time.Second
-	fairRunFor     = 60 * time.Second
-	fairStep       = 10 * time.Millisecond
-	heartbeatEvery = time.Second
+	teamCount           = 5
+	poolTokensPerSecond = 10000.0
+	requestTokens       = 100
+	requestTimeout      = 2 * time.Second
+	fairRunDuration     = 60 * time.Second
+	fairTimeStep        = 10 * time.Millisecond
+	heartbeatInterval   = time.Second
 )
 
-// fairness is what a run showed.
-type fairness struct {
-	offered, served [teams]int
+// fairnessResult holds the numbers of requests that each team offered and that were
+// served before their deadlines.
+type fairnessResult struct {
+	offered, served [teamCount]int
 }
 
-// attained returns a team's share of requests that were served in time.
-func (f *fairness) attained(team int) float64 {
-	return share(f.served[team], f.offered[team])
+// attainment returns the percentage of a team's requests that were served in time.
+func (f *fairnessResult) attainment(team int) float64 {
+	return percent(f.served[team], f.offered[team])
 }
 
-// others returns the mean and the least over the teams within their share.
-func (f *fairness) others() (mean, worst float64) {
+// attainmentOfOthers returns the mean and the lowest attainment of the teams that
+// stay within their share: all but team 0.
+func (f *fairnessResult) attainmentOfOthers() (mean, worst float64) {
 	worst = 100
-	for team := 1; team < teams; team++ {
-		a := f.attained(team)
-		mean += a / (teams - 1)
-		worst = min(worst, a)
+	for team := 1; team < teamCount; team++ {
+		attainment := f.attainment(team)
+		mean += attainment / (teamCount - 1)
+		worst = min(worst, attainment)
 	}
 	return mean, worst
 }
 
 func teamName(i int) string { return fmt.Sprint("team-", i) }
 
-// runFairness lets team 0 send a multiple of its share while the others send a
-// part of theirs, at a number of VMs that each have their part of the pool. With
-// skew, each of the others uses one VM only.
-func runFairness(o admit.Options, vms int, flood, demand float64, skew bool) *fairness {
-	f := &fairness{}
+// runFairness simulates a run in which team 0 sends firstTeamLoad times its share
+// and each other team otherTeamsLoad times its share, over a number of VMs with
+// equal parts of the pool. With skew, each of the other teams uses one VM only.
+func runFairness(o admit.Options, vms int, firstTeamLoad, otherTeamsLoad float64, skew bool) *fairnessResult {
+	f := &fairnessResult{}
 	rng := rand.New(rand.NewPCG(seed, seed))
 	queues := make([]*admit.Queue, vms)
 	served := make([]map[string]int64, vms)
 	for i := range queues {
 		queues[i] = admit.New(o)
 		served[i] = make(map[string]int64)
-		for team := range teams {
+		for team := range teamCount {
 			queues[i].SetWeight(teamName(team), 1)
 		}
 	}
-	budget := make([]float64, vms)
+	budgets := make([]float64, vms)
 	id := uint64(0)
-	for now := start; now.Before(start.Add(fairRunFor)); now = now.Add(fairStep) {
-		for team := range teams {
-			rate := demand
+	for now := startTime; now.Before(startTime.Add(fairRunDuration)); now = now.Add(fairTimeStep) {
+		for team := range teamCount {
+			rate := otherTeamsLoad
 			if team == 0 {
-				rate = flood
+				rate = firstTeamLoad
 			}
-			expected := rate * poolTokens / teams / requestTokens * fairStep.Seconds()
+			expected := rate * poolTokensPerSecond / teamCount / requestTokens * fairTimeStep.Seconds()
 			for range poisson(rng, expected) {
 				vm := rng.IntN(vms)
 				if skew && team > 0 {
@@ -76,30 +78,31 @@
 				id++
 				f.offered[team]++
 				_, _ = queues[vm].Offer(admit.Request{
-					ID: id, Team: teamName(team), Class: "m", Tokens: requestTokens, Deadline: now.Add(requestWait),
+					ID: id, Team: teamName(team), Class: "m", Tokens: requestTokens, Deadline: now.Add(requestTimeout),
 				}, now)
 			}
 		}
-		serve(f, queues, served, budget, now)
-		if now.Sub(start)%heartbeatEvery == 0 {
-			exchange(queues, served)
+		dispatchStep(f, queues, served, budgets, now)
+		if now.Sub(startTime)%heartbeatInterval == 0 {
+			exchangeServed(queues, served)
 		}
 	}
 	return f
 }
 
-// serve lets each queue dispatch what its part of the pool takes in a step.
-func serve(f *fairness, queues []*admit.Queue, served []map[string]int64, budget []float64, now time.Time) {
+// dispatchStep dispatches from each queue the requests that its part of the pool
+// can serve in one time step.
+func dispatchStep(f *fairnessResult, queues []*admit.Queue, served []map[string]int64, budgets []float64, now time.Time) {
 	for i, q := range queues {
 		q.Expire(now)
-		step := poolTokens / float64(len(queues)) * fairStep.Seconds()
-		budget[i] = min(budget[i]+step, 2*requestTokens)
-		for budget[i] >= requestTokens {
+		step := poolTokensPerSecond / float64(len(queues)) * fairTimeStep.Seconds()
+		budgets[i] = min(budgets[i]+step, 2*requestTokens)
+		for budgets[i] >= requestTokens {
 			r, ok := q.Next(now, func(string) bool { return true })
 			if !ok {
 				break
 			}
-			budget[i] -= requestTokens
+			budgets[i] -= requestTokens
 			served[i][r.Team] += r.Tokens
 			var team int
 			if _, err := fmt.Sscanf(r.Team, "team-%d", &team); err == nil {
@@ -109,26 +112,27 @@
 	}
 }
 
-// exchange tells every queue what the others have served since the last time.
-func exchange(queues []*admit.Queue, served []map[string]int64) {
+// exchangeServed reports to every queue the tokens that the other queues have
+// served since the last exchange.
+func exchangeServed(queues []*admit.Queue, served []map[string]int64) {
 	for i, q := range queues {
-		elsewhere := make(map[string]int64)
+		servedElsewhere := make(map[string]int64)
 		for j := range served {
 			if j == i {
 				continue
 			}
 			for team, n := range served[j] {
-				elsewhere[team] += n
+				servedElsewhere[team] += n
 			}
 		}
-		q.ServedElsewhere(elsewhere)
+		q.ServedElsewhere(servedElsewhere)
 	}
 	for i := range served {
 		clear(served[i])
 	}
 }
 
-// poisson draws how many arrive in a step in which a number is expected.
+// poisson draws the number of arrivals in a step, given the expected number.
 func poisson(rng *rand.Rand, expected float64) int {
 	n := 0
 	for t := rng.ExpFloat64(); t < expected; t += rng.ExpFloat64() {
@@ -138,13 +142,13 @@
 }
 
 func measureFairness(w io.Writer) {
-	fmt.Fprintf(w, "fairness: %d teams of equal weight, %.0f tokens a second, deadlines of %v, served in time\n", teams, poolTokens, requestWait)
+	fmt.Fprintf(w, "fairness: %d teams of equal weight, %.0f tokens a second, deadlines of %v, served in time\n", teamCount, poolTokensPerSecond, requestTimeout)
 	fmt.Fprintln(w, "case\torder\tmean of the others\tworst of the others\tworst / mean\tthe team beyond its share")
 	for _, c := range []struct {
-		name          string
-		vms           int
-		flood, demand float64
-		skew          bool
+		name                          string
+		vms                           int
+		firstTeamLoad, otherTeamsLoad float64
+		skew                          bool
 	}{
 		{"1 VM, all at 0.9 of their share", 1, 0.9, 0.9, false},
 		{"1 VM, one at 5 times its share", 1, 5, 0.9, false},
@@ -156,9 +160,9 @@
 			if fcfs {
 				name = "first come"
 			}
-			f := runFairness(admit.Options{FirstComeFirstServed: fcfs}, c.vms, c.flood, c.demand, c.skew)
-			mean, worst := f.others()
-			fmt.Fprintf(w, "%s\t%s\t%.1f %%\t%.1f %%\t%.3f\t%.1f %%\n", c.name, name, mean, worst, worst/mean, f.attained(0))
+			f := runFairness(admit.Options{FirstComeFirstServed: fcfs}, c.vms, c.firstTeamLoad, c.otherTeamsLoad, c.skew)
+			mean, worst := f.attainmentOfOthers()
+			fmt.Fprintf(w, "%s\t%s\t%.1f %%\t%.1f %%\t%.3f\t%.1f %%\n", c.name, name, mean, worst, worst/mean, f.attainment(0))
 		}
 	}
 	fmt.Fprintln(w)
--- a/internal/trafficmeasure/main.go
+++ b/internal/trafficmeasure/main.go
@@ -1,8 +1,9 @@
-// Command trafficmeasure measures the decisions about traffic as pure functions,
-// each beside the simple ways that it replaces: which engine serves a request,
-// which team goes first, and which VM a flash crowd is sent to. Its figures depend on
-// nothing but its seed: it has no clock, no network and no engine of its own beyond
-// a line of requests that are read one after the other.
+// Command trafficmeasure measures the traffic decisions as pure functions and
+// compares each with the simpler policies that it replaces: which engine serves a
+// request, which team is served first, which VM the callers of a flash crowd are
+// sent to, and which VM writes the claim on an action. Its figures depend only on
+// its seed: it uses no clock and no network, and an engine is simulated as a queue
+// of prompts that are processed one after the other.
 package main
 
 import (
@@ -12,11 +13,11 @@
 	"time"
 )
 
-// seed starts every draw.
+// seed is the seed of every random number generator.
 const seed = 1
 
-// start is the time at which every run begins.
-var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// startTime is the simulated time at which every run starts.
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func main() {
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
@@ -30,8 +31,8 @@
 	}
 }
 
-// share returns n of all in per cent.
-func share(n, all int) float64 {
+// percent returns n as a percentage of all, or 0 if all is 0.
+func percent(n, all int) float64 {
 	if all == 0 {
 		return 0
 	}
--- a/internal/trafficmeasure/routing.go
+++ b/internal/trafficmeasure/routing.go
@@ -11,126 +11,129 @@
 	"github.com/chestnutarch/chestnutarch/internal/route"
 )
 
-// The workload: callers ask questions about long texts of which each engine's cache
-// holds a few, and some ask short questions without a text.
+// The workload: most requests are questions about one of several long texts, of which
+// each engine's prefix cache holds a few. The others are short questions without a
+// text.
 const (
-	engines       = 20
-	entryVMs      = 7
-	manuals       = 80
-	manualTokens  = 6000
-	shortTokens   = 150
-	shortShare    = 0.3
-	cachedManuals = 8
-	tokensPerSec  = 8000.0
-	reportEvery   = 500 * time.Millisecond
-	objective     = 760 * time.Millisecond
-	runFor        = 120 * time.Second
+	engineCount           = 20
+	entryVMCount          = 7
+	manualCount           = 80
+	manualTokens          = 6000
+	questionTokens        = 150
+	shortRequestShare     = 0.3
+	manualsPerCache       = 8
+	promptTokensPerSecond = 8000.0
+	reportInterval        = 500 * time.Millisecond
+	firstTokenObjective   = 760 * time.Millisecond
+	routingRunDuration    = 120 * time.Second
 )
 
-// reader is an engine that reads prompts one after the other.
-type reader struct {
-	name    string
-	free    time.Time
-	ends    []time.Time
-	manuals []int
+// simulatedEngine is an engine that processes prompts one after the other.
+type simulatedEngine struct {
+	name          string
+	idleAt        time.Time
+	finishTimes   []time.Time
+	cachedManuals []int
 }
 
-// read puts a request at the end of the line and returns when its prompt has been
-// read. Of a cached text only the question is read.
-func (r *reader) read(now time.Time, manual int) (end time.Time, hit bool) {
-	tokens := shortTokens
+// enqueue adds a request to the end of the engine's queue and returns the time at which
+// its prompt has been processed. If the text is cached, only the question is processed.
+func (r *simulatedEngine) enqueue(now time.Time, manual int) (end time.Time, hit bool) {
+	tokens := questionTokens
 	if manual >= 0 {
-		at := slices.Index(r.manuals, manual)
-		if hit = at >= 0; hit {
-			r.manuals = slices.Delete(r.manuals, at, at+1)
+		index := slices.Index(r.cachedManuals, manual)
+		if hit = index >= 0; hit {
+			r.cachedManuals = slices.Delete(r.cachedManuals, index, index+1)
 		} else {
 			tokens += manualTokens
 		}
-		r.manuals = append(r.manuals, manual)
-		if len(r.manuals) > cachedManuals {
-			r.manuals = r.manuals[1:]
+		r.cachedManuals = append(r.cachedManuals, manual)
+		if len(r.cachedManuals) > manualsPerCache {
+			r.cachedManuals = r.cachedManuals[1:]
 		}
 	}
-	if r.free.Before(now) {
-		r.free = now
+	if r.idleAt.Before(now) {
+		r.idleAt = now
 	}
-	r.free = r.free.Add(time.Duration(float64(tokens) / tokensPerSec * float64(time.Second)))
-	r.ends = append(r.ends, r.free)
-	return r.free, hit
+	r.idleAt = r.idleAt.Add(time.Duration(float64(tokens) / promptTokensPerSecond * float64(time.Second)))
+	r.finishTimes = append(r.finishTimes, r.idleAt)
+	return r.idleAt, hit
 }
 
-// running returns the number of requests that are not finished.
-func (r *reader) running(now time.Time) int {
-	r.ends = slices.DeleteFunc(r.ends, func(t time.Time) bool { return !t.After(now) })
-	return len(r.ends)
+// inFlight returns the number of requests that are not finished at the given time.
+func (r *simulatedEngine) inFlight(now time.Time) int {
+	r.finishTimes = slices.DeleteFunc(r.finishTimes, func(t time.Time) bool { return !t.After(now) })
+	return len(r.finishTimes)
 }
 
-// world is several VMs before the same engines.
-type world struct {
-	readers []*reader
+// routingSimulation simulates several VMs that send requests to the same engines.
+type routingSimulation struct {
+	engines []*simulatedEngine
 	routers []*route.Router
-	pending []ending
+	pending []pendingRequest
 	fleet   *route.Fleet
 	rng     *rand.Rand
-	// prefixes are those of the texts.
+	// prefixes are the prompt prefixes of the long texts.
 	prefixes []route.Prefix
 }
 
-// ending is a request that will end.
-type ending struct {
-	at     time.Time
-	router *route.Router
-	engine string
+// pendingRequest is a request in flight and the time at which it ends.
+type pendingRequest struct {
+	finishAt time.Time
+	router   *route.Router
+	engine   string
 }
 
 var manualItem = route.Item{Model: "m"}
 
-func newWorld(p route.Policy) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, seed))}
-	for i := range engines {
-		w.readers = append(w.readers, &reader{name: fmt.Sprintf("e%02d", i), free: start})
+func newRoutingSimulation(p route.Policy) *routingSimulation {
+	w := &routingSimulation{rng: rand.New(rand.NewPCG(seed, seed))}
+	for i := range engineCount {
+		w.engines = append(w.engines, &simulatedEngine{name: fmt.Sprintf("e%02d", i), idleAt: startTime})
 	}
-	for i := range manuals {
+	for i := range manualCount {
 		text := strings.Repeat(fmt.Sprintf("page %08d of a long text. ", i), 100)
 		w.prefixes = append(w.prefixes, route.PrefixOf(manualItem, text))
 	}
-	for range entryVMs {
+	for range entryVMCount {
 		w.routers = append(w.routers, route.New(route.Options{Policy: p, MaxInFlight: 1 << 20}))
 	}
 	return w
 }
 
-// report gives every VM the engines' loads, as old as a report is.
-func (w *world) report(now time.Time) {
+// reportLoads updates every VM with the engines' current loads. Until the next report,
+// the VMs route by these.
+func (w *routingSimulation) reportLoads(now time.Time) {
 	w.fleet = &route.Fleet{}
-	for _, r := range w.readers {
+	for _, r := range w.engines {
 		w.fleet.Engines = append(w.fleet.Engines, route.Engine{
-			Name: r.name, Reachable: true, Running: r.running(now), ReportedAt: now,
+			Name: r.name, Reachable: true, Running: r.inFlight(now), ReportedAt: now,
 			Ready: map[route.Item][]string{manualItem: {"v"}},
 		})
 	}
 	for _, r := range w.routers {
 		r.SetFleet(w.fleet)
-		r.SetSpread(entryVMs)
+		r.SetSpread(entryVMCount)
 	}
 }
 
-func (w *world) finish(now time.Time) {
-	w.pending = slices.DeleteFunc(w.pending, func(e ending) bool {
-		if e.at.After(now) {
+func (w *routingSimulation) finishRequests(now time.Time) {
+	w.pending = slices.DeleteFunc(w.pending, func(e pendingRequest) bool {
+		if e.finishAt.After(now) {
 			return false
 		}
-		e.router.Finished(e.engine, manualItem, true, e.at)
+		e.router.Finished(e.engine, manualItem, true, e.finishAt)
 		return true
 	})
 }
 
-// arrive sends one request and returns how long its prompt takes to be read.
-func (w *world) arrive(now time.Time) (wait time.Duration, hit, long bool) {
+// sendRequest routes one request and returns the time until its prompt has been
+// processed, whether its text was cached and whether it has a text.
+func (w *routingSimulation) sendRequest(now time.Time) (wait time.Duration, hit, hasManual bool) {
 	manual := -1
 	prefix := route.NoPrefix
-	if w.rng.Float64() >= shortShare {
-		manual = int(float64(manuals) * w.rng.Float64() * w.rng.Float64())
+	if w.rng.Float64() >= shortRequestShare {
+		manual = int(float64(manualCount) * w.rng.Float64() * w.rng.Float64())
 		prefix = w.prefixes[manual]
 	}
 	router := w.routers[w.rng.IntN(len(w.routers))]
@@ -139,38 +142,38 @@
 		panic(err)
 	}
 	router.Started(e.Name, manualItem, now)
-	i := slices.IndexFunc(w.readers, func(r *reader) bool { return r.name == e.Name })
-	end, hit := w.readers[i].read(now, manual)
-	w.pending = append(w.pending, ending{at: end, router: router, engine: e.Name})
+	i := slices.IndexFunc(w.engines, func(r *simulatedEngine) bool { return r.name == e.Name })
+	end, hit := w.engines[i].enqueue(now, manual)
+	w.pending = append(w.pending, pendingRequest{finishAt: end, router: router, engine: e.Name})
 	return end.Sub(now), hit, manual >= 0
 }
 
-// routing is what a run showed.
-type routing struct {
-	requests, attained, hits, longs int
-	p99                             time.Duration
+// routingResult holds the measurements of a run.
+type routingResult struct {
+	requests, attained, cacheHits, withManual int
+	p99                                       time.Duration
 }
 
-func runRouting(p route.Policy, perSecond float64) routing {
-	w := newWorld(p)
-	var out routing
+func runRouting(p route.Policy, perSecond float64) routingResult {
+	w := newRoutingSimulation(p)
+	var out routingResult
 	var waits []time.Duration
-	next := start
-	for now := start; now.Before(start.Add(runFor)); now = now.Add(reportEvery) {
-		w.report(now)
-		for ; next.Before(now.Add(reportEvery)); next = next.Add(time.Duration(w.rng.ExpFloat64() / perSecond * float64(time.Second))) {
-			w.finish(next)
-			wait, hit, long := w.arrive(next)
+	next := startTime
+	for now := startTime; now.Before(startTime.Add(routingRunDuration)); now = now.Add(reportInterval) {
+		w.reportLoads(now)
+		for ; next.Before(now.Add(reportInterval)); next = next.Add(time.Duration(w.rng.ExpFloat64() / perSecond * float64(time.Second))) {
+			w.finishRequests(next)
+			wait, hit, hasManual := w.sendRequest(next)
 			waits = append(waits, wait)
 			out.requests++
-			if wait <= objective {
+			if wait <= firstTokenObjective {
 				out.attained++
 			}
-			if long {
-				out.longs++
+			if hasManual {
+				out.withManual++
 			}
 			if hit {
-				out.hits++
+				out.cacheHits++
 			}
 		}
 	}
@@ -181,7 +184,7 @@
 
 func measureRouting(w io.Writer) {
 	fmt.Fprintf(w, "routing: %d engines, %d VMs, %d texts of %d tokens, %d of them in an engine's cache, reports every %v\n",
-		engines, entryVMs, manuals, manualTokens, cachedManuals, reportEvery)
+		engineCount, entryVMCount, manualCount, manualTokens, manualsPerCache, reportInterval)
 	fmt.Fprintln(w, "requests/s\tpolicy\twithin 0.76 s\ttexts in cache\tp99 to the end of the prompt")
 	for _, rate := range []float64{20, 30, 40, 60, 80, 120} {
 		for _, p := range []struct {
@@ -189,7 +192,7 @@
 			policy route.Policy
 		}{{"round robin", route.PolicyRoundRobin}, {"least load", route.PolicyLeastLoad}, {"prefix", route.PolicyPrefix}} {
 			r := runRouting(p.policy, rate)
-			fmt.Fprintf(w, "%.0f\t%s\t%.1f %%\t%.1f %%\t%v\n", rate, p.name, share(r.attained, r.requests), share(r.hits, r.longs), r.p99.Round(time.Millisecond))
+			fmt.Fprintf(w, "%.0f\t%s\t%.1f %%\t%.1f %%\t%v\n", rate, p.name, percent(r.attained, r.requests), percent(r.cacheHits, r.withManual), r.p99.Round(time.Millisecond))
 		}
 	}
 	fmt.Fprintln(w)
