--- a/cmd/chestnut-load/main.go
+++ b/cmd/chestnut-load/main.go
@@ -1,5 +1,5 @@
-// Command chestnut-load drives the entry VMs with open-loop load and reports
-// what callers felt.
+// Command chestnut-load generates open-loop load on the entry VMs and reports
+// the latencies and outcomes that callers observe.
 package main
 
 import (
@@ -24,13 +24,13 @@
 	defer stop()
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
 	if err := command().ExecuteContext(ctx); err != nil {
-		log.Error().Err(err).Msg("load ended")
+		log.Error().Err(err).Msg("load run failed")
 		return 1
 	}
 	return 0
 }
 
-// flags are the command line.
+// flags are the values of the command line's flags.
 type flags struct {
 	workload string
 	output   string
@@ -47,46 +47,47 @@
 	var f flags
 	c := &cobra.Command{
 		Use:           "chestnut-load",
-		Short:         "Drive chestnutarch with open-loop load and report what callers felt",
+		Short:         "Generate open-loop load on chestnutarch and report the latencies and outcomes that callers observe",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
-		RunE:          func(c *cobra.Command, _ []string) error { return drive(c.Context(), &f) },
+		RunE:          func(c *cobra.Command, _ []string) error { return runLoad(c.Context(), &f) },
 	}
 	c.Flags().StringVar(&f.workload, "workload", "", "YAML file that describes the load")
-	c.Flags().StringVarP(&f.output, "output", "o", "table", "form of the report: table or json")
-	c.Flags().StringVar(&f.plots, "plots", "", "file for an HTML page of plots")
+	c.Flags().StringVarP(&f.output, "output", "o", "table", "format of the report: table or json")
+	c.Flags().StringVar(&f.plots, "plots", "", "write an HTML page of plots to this file")
 	c.Flags().DurationVar(&f.duration, "duration", 0, "replaces the workload's duration")
 	c.Flags().Uint64Var(&f.seed, "seed", 0, "replaces the workload's seed")
 	c.Flags().StringSliceVar(&f.entries, "entry", nil, "replaces the workload's entries")
 	c.Flags().StringSliceVar(&f.engines, "engine", nil, "replaces the workload's engines")
 	c.Flags().StringSliceVar(&f.services, "service", nil, "replaces the workload's services")
-	c.Flags().BoolVar(&f.check, "check", false, "only check the workload")
+	c.Flags().BoolVar(&f.check, "check", false, "validate the workload without running it")
 	_ = c.MarkFlagRequired("workload")
 	return c
 }
 
-func drive(ctx context.Context, f *flags) error {
+func runLoad(ctx context.Context, f *flags) error {
 	w, err := load.ReadWorkload(f.workload)
 	if err != nil || f.check {
 		return err
 	}
-	f.replace(w)
+	f.override(w)
 	report, err := load.Run(ctx, w)
 	if err != nil {
 		return err
 	}
-	if err := write(f.output, report); err != nil {
+	if err := writeReport(f.output, report); err != nil {
 		return err
 	}
 	if f.plots == "" {
 		return nil
 	}
-	return plot(f.plots, report)
+	return writePlots(f.plots, report)
 }
 
-// replace puts what the command line gives in the place of the workload's.
-func (f *flags) replace(w *load.Workload) {
+// override replaces settings of the workload by the values of the flags that are
+// set.
+func (f *flags) override(w *load.Workload) {
 	if f.duration > 0 {
 		w.Duration = f.duration
 	}
@@ -105,8 +106,8 @@
 	}
 }
 
-func write(form string, r *load.Report) error {
-	if form != "json" {
+func writeReport(format string, r *load.Report) error {
+	if format != "json" {
 		return r.WriteTable(os.Stdout)
 	}
 	e := json.NewEncoder(os.Stdout)
@@ -114,7 +115,7 @@
 	return errors.WithStack(e.Encode(r))
 }
 
-func plot(path string, r *load.Report) error {
+func writePlots(path string, r *load.Report) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return errors.WithStack(err)
