--- a/cmd/chestnut-demo/main.go
+++ b/cmd/chestnut-demo/main.go
@@ -43,8 +43,8 @@
 			return run(cmd.Context(), telemetry.NewLogger(os.Stderr, log))
 		},
 	}
-	c.Flags().StringVar(&log.Level, "log-level", zerolog.WarnLevel.String(), "least level that is logged")
-	c.Flags().StringVar(&log.Format, "log-format", telemetry.FormatConsole, "json or console")
+	c.Flags().StringVar(&log.Level, "log-level", zerolog.WarnLevel.String(), "lowest level of logged messages")
+	c.Flags().StringVar(&log.Format, "log-format", telemetry.FormatConsole, "format of the log: json or console")
 	return c
 }
 
@@ -64,14 +64,14 @@
 			return err
 		}
 		fmt.Println("\nserving; press Ctrl-D to stop")
-		awaitEnd(ctx, os.Stdin)
+		awaitInputEnd(ctx, os.Stdin)
 		return nil
 	})
 	return group.Wait()
 }
 
-// awaitEnd waits until the input or ctx ends.
-func awaitEnd(ctx context.Context, input io.Reader) {
+// awaitInputEnd blocks until the input reaches its end or ctx ends.
+func awaitInputEnd(ctx context.Context, input io.Reader) {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
