--- a/examples/generate/main_test.go
+++ b/examples/generate/main_test.go
@@ -11,8 +11,8 @@
 	"github.com/chestnutarch/chestnutarch/internal/placement"
 )
 
-// An example that no longer parses, or that differs from what the generator
-// writes, would be copied by an operator and refused.
+// The example documents equal the generator's output, parse and fit on their
+// engines: an operator who copied an outdated example would have it refused.
 func TestExamplesAreCurrentAndValid(t *testing.T) {
 	sizes := map[string][5]int{
 		"gt-central": {4, 20, 4, 20, 110},
@@ -24,7 +24,7 @@
 		file := filepath.Join("..", d.name+".yaml")
 		got, err := os.ReadFile(file)
 		require.NoError(t, err)
-		require.Equal(t, string(want), string(got), "run go run ./examples/generate")
+		require.Equal(t, string(want), string(got), "outdated example document: run go run ./examples/generate")
 		doc, err := document.Parse(got, file)
 		require.NoError(t, err)
 		require.NoError(t, placement.Fits(doc))
