--- a/cmd/chestnut-vm/main.go
+++ b/cmd/chestnut-vm/main.go
@@ -51,7 +51,7 @@
 func run(ctx context.Context, s *platform.Settings, logs telemetry.LogSettings) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	output := telemetry.NewBounded(os.Stdout)
+	output := telemetry.NewBoundedWriter(os.Stdout)
 	writerCtx, stopWriter := context.WithCancel(context.WithoutCancel(ctx))
 	var writer sync.WaitGroup
 	writer.Go(func() { output.Run(writerCtx) })
--- a/examples/generate/main_test.go
+++ b/examples/generate/main_test.go
@@ -27,7 +27,7 @@
 		require.Equal(t, string(want), string(got), "outdated example document: run go run ./examples/generate")
 		doc, err := document.Parse(got, file)
 		require.NoError(t, err)
-		require.NoError(t, placement.Fits(doc))
+		require.NoError(t, placement.CheckFits(doc))
 		adapters := 0
 		for _, m := range doc.Models {
 			adapters += len(m.Adapters)
--- a/internal/address/book.go
+++ b/internal/address/book.go
@@ -31,8 +31,8 @@
 	Capacity int64
 	// InFlight is the number of requests in flight as of the last heartbeat.
 	InFlight int64
-	// HeardAt is when the last heartbeat arrived, by this VM's clock.
-	HeardAt time.Time
+	// LastHeartbeat is when the last heartbeat arrived, by this VM's clock.
+	LastHeartbeat time.Time
 }
 
 // Options configures a Book. The zero value takes every default.
@@ -136,8 +136,8 @@
 			v.Capacity = defaultCapacity
 		}
 		n := b.counts[v.Name]
-		if v.HeardAt.After(n.lastHeartbeat) {
-			n = answerCount{lastHeartbeat: v.HeardAt}
+		if v.LastHeartbeat.After(n.lastHeartbeat) {
+			n = answerCount{lastHeartbeat: v.LastHeartbeat}
 		}
 		kept[v.Name] = n
 	}
--- a/internal/address/book_test.go
+++ b/internal/address/book_test.go
@@ -29,7 +29,7 @@
 	for i := range vms {
 		vms[i] = VM{
 			Name: fmt.Sprint("vm", i), URL: fmt.Sprintf("https://10.0.0.%d:443", i), FailureDomain: fmt.Sprint("d", i%4),
-			Ready: true, Capacity: 100, HeardAt: start,
+			Ready: true, Capacity: 100, LastHeartbeat: start,
 		}
 	}
 	return vms
@@ -91,7 +91,7 @@
 			"heartbeat": func(t *rapid.T) {
 				v := &vms[vmIndex.Draw(t, "vm")]
 				now = now.Add(time.Second)
-				v.HeardAt, v.InFlight, v.Ready = now, rapid.Int64Range(0, 300).Draw(t, "in flight"), rapid.Bool().Draw(t, "ready")
+				v.LastHeartbeat, v.InFlight, v.Ready = now, rapid.Int64Range(0, 300).Draw(t, "in flight"), rapid.Bool().Draw(t, "ready")
 				b.SetVMs(vms)
 			},
 			"leave": func(t *rapid.T) {
--- a/internal/admit/drain.go
+++ b/internal/admit/drain.go
@@ -91,7 +91,7 @@
 func (q *Queue) newRefusal(r Request, cause error, now time.Time) *Refusal {
 	wait := q.estimateWait(q.team(r.Team), &r)
 	if cause == ErrDeadline {
-		wait -= max(0, r.Deadline.Sub(now)-r.Run)
+		wait -= max(0, r.Deadline.Sub(now)-r.MinRunTime)
 	}
 	wait = min(max(wait, minRetryAfter), maxRetryAfter)
 	return &Refusal{Request: r, Cause: cause, RetryAfter: wait}
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -267,9 +267,9 @@
 	return q.options.FirstComeFirstServed || t.virtualTime < best.virtualTime
 }
 
-// Served corrects a team's virtual time once the actual cost of a dispatched request
+// CorrectCost corrects a team's virtual time once the actual cost of a dispatched request
 // is known. delta is the actual cost minus the expected cost, in tokens.
-func (q *Queue) Served(name string, delta int64) {
+func (q *Queue) CorrectCost(name string, delta int64) {
 	t := q.team(name)
 	t.virtualTime = max(0, t.virtualTime+float64(delta)/t.weight)
 }
--- a/internal/admit/queue_test.go
+++ b/internal/admit/queue_test.go
@@ -124,7 +124,7 @@
 	if !ok {
 		return
 	}
-	require.False(m.oracle, m.now.Add(r.Run).After(r.Deadline), "a request was dispatched that cannot meet its deadline")
+	require.False(m.oracle, m.now.Add(r.MinRunTime).After(r.Deadline), "a request was dispatched that cannot meet its deadline")
 	m.recordService(r)
 	m.removeFromModel(r)
 }
@@ -164,7 +164,7 @@
 				m.offer(Request{
 					Team: team.Draw(t, "team"), Class: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "class"),
 					Tokens: rapid.Int64Range(1, maxTokens).Draw(t, "tokens"), Bytes: 10,
-					Deadline: m.now.Add(time.Duration(ms) * time.Millisecond), Run: 10 * time.Millisecond,
+					Deadline: m.now.Add(time.Duration(ms) * time.Millisecond), MinRunTime: 10 * time.Millisecond,
 				})
 			}
 		},
--- a/internal/admit/request.go
+++ b/internal/admit/request.go
@@ -31,13 +31,13 @@
 	Bytes int64
 	// Deadline is when the response must be complete.
 	Deadline time.Time
-	// Run is the minimum time from dispatch to the complete response.
-	Run time.Duration
+	// MinRunTime is the minimum time from dispatch to the complete response.
+	MinRunTime time.Duration
 }
 
 // isLate reports whether a request that starts now would miss its deadline.
 func (r *Request) isLate(now time.Time) bool {
-	return now.Add(r.Run).After(r.Deadline)
+	return now.Add(r.MinRunTime).After(r.Deadline)
 }
 
 // Refusal is a refused request. It was not dispatched.
--- a/internal/caller/collect.go
+++ b/internal/caller/collect.go
@@ -83,7 +83,7 @@
 }
 
 // Attach does nothing: nothing is written before the answer is complete.
-func (*collector) Attach(relay.Place) error { return nil }
+func (*collector) Attach(relay.Location) error { return nil }
 
 // Event adds one event to the answer.
 func (c *collector) Event(e engine.Event) error {
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -49,7 +49,7 @@
 	Models    Upstreams
 	Pools     Upstreams
 	Relay     *relay.Relay
-	Ring      *resume.Ring
+	Ring      *resume.Keyring
 	Releaser  Releaser
 	Claims    Claims
 	Addresses Addresses
@@ -115,7 +115,7 @@
 	id string
 	// streamID is the generated ID that is used towards upstreams.
 	streamID  string
-	holder    configstate.Holder
+	holder    configstate.KeyOwner
 	keyDigest string
 	snapshot  *configstate.Snapshot
 	deadline  time.Time
--- a/internal/caller/harness_test.go
+++ b/internal/caller/harness_test.go
@@ -180,7 +180,7 @@
 	config configuration
 	urls   []string
 	store  *kvtest.Memory
-	ring   *resume.Ring
+	ring   *resume.Keyring
 	mu     sync.Mutex
 	claims map[string]*claims.Claims
 	relays map[string]*relay.Relay
@@ -196,7 +196,7 @@
 }
 
 func newFleetWithTiming(t testing.TB, vms, maxInFlight int, timing streamTiming, urls ...string) *fleet {
-	ring, err := resume.NewRing([]byte(strings.Repeat("s", resume.MinSecretBytes)))
+	ring, err := resume.NewKeyring([]byte(strings.Repeat("s", resume.MinSecretBytes)))
 	require.NoError(t, err)
 	f := &fleet{
 		urls: urls, store: kvtest.NewMemory(nil), ring: ring, maxInFlight: maxInFlight, timing: timing,
@@ -231,7 +231,7 @@
 		Configuration: &f.config, Readiness: &f.config, VM: name, Ring: f.ring, Releaser: f,
 		Limiter:  f.limiter(),
 		Relay:    relay.New(relay.Options{Engines: engines, Grace: 100 * time.Millisecond}),
-		Claims:   claims.New(claims.Options{Store: f.store, Environment: "test", VM: name, Asker: f}),
+		Claims:   claims.New(claims.Options{Store: f.store, Environment: "test", VM: name, Querier: f}),
 		Services: service.NewClient(service.ClientOptions{}),
 		Leaving:  func() bool { return false },
 		Limits:   Limits{MaxBodyBytes: 1 << 20, MaxInFlight: 10000, RequestTimeout: 20 * time.Second},
@@ -271,8 +271,8 @@
 	return l
 }
 
-// Ask implements claims.Asker.
-func (f *fleet) Ask(_ context.Context, vm, attempt string) (claim.State, *claim.Answer, error) {
+// QueryAttempt implements claims.AttemptQuerier.
+func (f *fleet) QueryAttempt(_ context.Context, vm, attempt string) (claim.State, *claim.Answer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	state, answer := f.claims[vm].State(attempt)
--- a/internal/caller/services.go
+++ b/internal/caller/services.go
@@ -168,7 +168,7 @@
 	grant.Finish(false, 0)
 	a.avoid = append(a.avoid, grant.Upstream.Name)
 	if a.attempt != nil && service.OutcomeOf(err) == service.NotRun {
-		a.attempt.Unsent()
+		a.attempt.RevertDispatch()
 	}
 	return nil, err
 }
@@ -182,7 +182,7 @@
 // storeAnswer stores the answer for retries with the same key.
 func (h *Handler) storeAnswer(a *action, answer *service.Answer) {
 	if a.attempt != nil {
-		a.attempt.Answered(answer.Status, answer.Header.Get("Content-Type"), answer.Body)
+		a.attempt.Complete(answer.Status, answer.Header.Get("Content-Type"), answer.Body)
 	}
 }
 
@@ -190,7 +190,7 @@
 func (h *Handler) failAction(a *action, err error, sent bool) *Problem {
 	if a.attempt != nil {
 		if sent {
-			a.attempt.Lost()
+			a.attempt.MarkLost()
 		} else {
 			a.attempt.Abandon()
 		}
--- a/internal/caller/sse.go
+++ b/internal/caller/sse.go
@@ -30,7 +30,7 @@
 type sseWriter struct {
 	w          http.ResponseWriter
 	controller *http.ResponseController
-	ring       *resume.Ring
+	ring       *resume.Keyring
 	token      resume.Token
 	timing     streamTiming
 
@@ -42,7 +42,7 @@
 	err            error
 }
 
-func newSSEWriter(w http.ResponseWriter, ring *resume.Ring, token resume.Token, timing streamTiming) *sseWriter {
+func newSSEWriter(w http.ResponseWriter, ring *resume.Keyring, token resume.Token, timing streamTiming) *sseWriter {
 	return &sseWriter{w: w, ring: ring, token: token, timing: timing}
 }
 
@@ -61,7 +61,7 @@
 // Attach is called when an engine has accepted the request. It sends the header, the
 // first time, and makes the resume tokens of the following events refer to that
 // engine.
-func (s *sseWriter) Attach(p relay.Place) error {
+func (s *sseWriter) Attach(p relay.Location) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.token.Engine = p.Engine
--- a/internal/caller/streams.go
+++ b/internal/caller/streams.go
@@ -25,7 +25,7 @@
 		return newProblem(http.StatusNotFound, TypeUnknownStream, Unknown, "the stream's engine is no longer in force")
 	}
 	h.releaseAtPreviousVM(token)
-	job := relay.Job{StreamID: token.Stream, At: relay.Place{Engine: token.Engine, URL: url}, AfterID: token.Offset}
+	job := relay.Job{StreamID: token.Stream, Location: relay.Location{Engine: token.Engine, URL: url}, AfterID: token.Offset}
 	return h.streamJob(w, r, req, job, &latencySink{}, nil)
 }
 
@@ -34,7 +34,7 @@
 func (h *Handler) openToken(id string, req *request) (resume.Token, *Problem) {
 	token, err := h.Ring.Open(id, req.holder.Team)
 	switch {
-	case errors.Is(err, resume.ErrForeign):
+	case errors.Is(err, resume.ErrWrongTeam):
 		return token, newProblem(http.StatusNotFound, TypeUnknownStream, NotRun, "no such stream")
 	case err != nil:
 		return token, newProblem(http.StatusBadRequest, TypeBadEventID, NotRun, "the event ID is not one of ours")
--- a/internal/capacity/planning.go
+++ b/internal/capacity/planning.go
@@ -18,9 +18,9 @@
 		before := heapBytes()
 		input := placement.Input{Models: doc.Models, Engines: placement.EnginesOf(doc), Demand: skewedDemand(n)}
 		var plan placement.Plan
-		first.add(n, measureSeconds(func() { plan = placement.Make(input) }))
+		first.add(n, measureSeconds(func() { plan = placement.NewPlan(input) }))
 		input.Engines = withPlannedItems(input.Engines, plan)
-		next.add(n, measureSeconds(func() { plan = placement.Make(input) }))
+		next.add(n, measureSeconds(func() { plan = placement.NewPlan(input) }))
 		memory.add(n, (heapBytes()-before)/megabyte)
 		// Without this, the garbage collector frees objects from before the plan,
 		// which the first heap measurement includes.
@@ -44,12 +44,12 @@
 // withPlannedItems returns the engines with the items that a plan assigns to
 // them, all of them ready.
 func withPlannedItems(engines []placement.Engine, plan placement.Plan) []placement.Engine {
-	heldItems := make(map[string][]placement.Held)
+	heldItems := make(map[string][]placement.HeldItem)
 	for _, a := range plan.Assignments {
-		heldItems[a.Engine] = append(heldItems[a.Engine], placement.Held{Item: a.Item, Memory: a.Memory, Ready: true})
+		heldItems[a.Engine] = append(heldItems[a.Engine], placement.HeldItem{Item: a.Item, Memory: a.Memory, Ready: true})
 	}
 	for i := range engines {
-		engines[i].Holds = heldItems[engines[i].Name]
+		engines[i].HeldItems = heldItems[engines[i].Name]
 	}
 	return engines
 }
--- a/internal/capacity/quota.go
+++ b/internal/capacity/quota.go
@@ -45,12 +45,12 @@
 		must(w.Run(quotaWarmUp))
 		memory.add(n, (heapBytes()-before)/float64(n)/megabyte)
 		bytes = 0
-		storeCalls := w.Calls
+		storeCalls := w.StoreCalls
 		seconds := measureSeconds(func() { must(w.Run(quotaWarmUp + quotaMeasured)) })
 		perVM := float64(n) * quotaMeasured.Seconds()
 		cpu.add(n, seconds/perVM*percent)
 		sent.add(n, float64(bytes)/perVM/kilobyte)
-		calls.add(n, float64(w.Calls-storeCalls)/quotaMeasured.Seconds())
+		calls.add(n, float64(w.StoreCalls-storeCalls)/quotaMeasured.Seconds())
 	}
 	return []series{cpu, sent, calls, memory}
 }
--- a/internal/claim/attempts.go
+++ b/internal/claim/attempts.go
@@ -26,10 +26,10 @@
 // which is safe.
 const maxAbandoned = 1 << 16
 
-// MaxHold is the longest time allowed between claim and dispatch. Without it, a VM
+// MaxDispatchDelay is the longest time allowed between claim and dispatch. Without it, a VM
 // that was paused for longer than a claim's lifetime would dispatch an action whose
 // claim has expired, and which another VM may have claimed and run in the meantime.
-const MaxHold = 10 * time.Minute
+const MaxDispatchDelay = 10 * time.Minute
 
 // attempt is the state of one attempt of this process.
 type attempt struct {
@@ -49,7 +49,7 @@
 	// promiseAnyway is a planted fault: Ask reports a dispatched attempt as
 	// abandoned.
 	promiseAnyway bool
-	// holdForEver is a planted fault: Dispatch ignores MaxHold.
+	// holdForEver is a planted fault: Dispatch ignores MaxDispatchDelay.
 	holdForEver bool
 }
 
@@ -78,16 +78,16 @@
 	if t == nil || t.state != Waiting || !t.granted {
 		return false
 	}
-	if now.Sub(t.claimedAt) > MaxHold && !a.holdForEver {
+	if now.Sub(t.claimedAt) > MaxDispatchDelay && !a.holdForEver {
 		return false
 	}
 	t.state = Running
 	return true
 }
 
-// Unsent undoes a dispatch of which no byte can have reached the upstream. The attempt
+// RevertDispatch undoes a dispatch of which no byte can have reached the upstream. The attempt
 // may then be dispatched again.
-func (a *Attempts) Unsent(id string) {
+func (a *Attempts) RevertDispatch(id string) {
 	if t := a.attempts[id]; t != nil && t.state == Running {
 		t.state = Waiting
 	}
@@ -128,8 +128,8 @@
 	}
 }
 
-// Ask returns the state of an attempt, and its answer if the state is Done.
-func (a *Attempts) Ask(id string) (State, *Answer) {
+// Lookup returns the state of an attempt, and its answer if the state is Done.
+func (a *Attempts) Lookup(id string) (State, *Answer) {
 	t := a.attempts[id]
 	if t == nil {
 		return Lost, nil
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -170,7 +170,7 @@
 		return
 	}
 	claimant := sim.vms[int(found.VM[0]-'0')]
-	state, _ := claimant.attempts.Ask(found.Attempt)
+	state, _ := claimant.attempts.Lookup(found.Attempt)
 	if state != Abandoned {
 		return
 	}
@@ -196,7 +196,7 @@
 		return
 	}
 	last, ran := sim.executions[r.Key]
-	require.False(sim.t, ran && sim.now.Sub(last.at) < testLifetime-MaxHold, "an action ran twice within the lifetime of its claim")
+	require.False(sim.t, ran && sim.now.Sub(last.at) < testLifetime-MaxDispatchDelay, "an action ran twice within the lifetime of its claim")
 	require.False(sim.t, sim.reportedNotRun[r.Attempt], "an action ran after its caller was answered that it did not")
 	sim.executions[r.Key] = execution{at: sim.now, attempt: r.Attempt}
 	if answered {
@@ -210,7 +210,7 @@
 func (sim *simulation) applySwap(c Call) Outcome {
 	at := &sim.stored[c.Slot]
 	if at.revision != c.Expected {
-		return DidNot
+		return NoEffect
 	}
 	sim.revision++
 	*at = storedValue{revision: sim.revision, value: c.Value}
@@ -226,11 +226,11 @@
 	v.inFlight = nil
 	if !c.Swap {
 		at := sim.stored[c.Slot]
-		sim.handleVerdicts(v, v.log.Read(c.Slot, at.revision, at.value))
+		sim.handleVerdicts(v, v.log.ReadDone(c.Slot, at.revision, at.value))
 		return
 	}
 	outcome := sim.applySwap(c)
-	sim.handleVerdicts(v, v.log.Swapped(c.Slot, outcome, sim.stored[c.Slot].revision))
+	sim.handleVerdicts(v, v.log.SwapDone(c.Slot, outcome, sim.stored[c.Slot].revision))
 }
 
 // loseResult loses the result of a VM's call. A swap is executed now if executed is true,
@@ -242,7 +242,7 @@
 	c := *v.inFlight
 	if !c.Swap {
 		v.inFlight = nil
-		v.log.Failed()
+		v.log.ReadFailed()
 		return
 	}
 	if executed {
@@ -250,7 +250,7 @@
 		v.inFlight = nil
 	}
 	sim.dropCall(v)
-	sim.handleVerdicts(v, v.log.Swapped(c.Slot, Unknown, c.Expected+1))
+	sim.handleVerdicts(v, v.log.SwapDone(c.Slot, Unknown, c.Expected+1))
 }
 
 // runRequest makes a request at a VM, steps it 12 times and dispatches, or abandons, its
@@ -311,7 +311,7 @@
 		},
 		"restart": func(t *rapid.T) { sim.restart(drawVM.Draw(t, "vm")) },
 		"wait": func(t *rapid.T) {
-			sim.now = sim.now.Add(rapid.SampledFrom([]time.Duration{time.Second, 6 * time.Second, MaxHold, testLifetime}).Draw(t, "time"))
+			sim.now = sim.now.Add(rapid.SampledFrom([]time.Duration{time.Second, 6 * time.Second, MaxDispatchDelay, testLifetime}).Draw(t, "time"))
 		},
 	}
 }
--- a/internal/claim/log.go
+++ b/internal/claim/log.go
@@ -87,7 +87,7 @@
 	return &Log{options: o, slots: make([]slot, o.Slots)}
 }
 
-// Submit adds an operation. Next, Read, Swapped or Expire returns its verdict.
+// Submit adds an operation. Next, ReadDone, SwapDone or Expire returns its verdict.
 func (l *Log) Submit(op Op) {
 	l.counter++
 	l.ops = append(l.ops, pending{Op: op, submittedAt: l.counter})
@@ -112,7 +112,7 @@
 
 // Next returns the call to make now, or nil, and the verdicts that need no call. While
 // a call is in flight it returns neither. The result of the call must be passed to
-// Read, Failed or Swapped.
+// ReadDone, ReadFailed or SwapDone.
 func (l *Log) Next(now time.Time) (*Call, []Verdict) {
 	if l.callInFlight {
 		return nil, nil
@@ -122,10 +122,10 @@
 	return call, verdicts
 }
 
-// Load returns the next read that is needed before an operation can be decided, or
+// NextRead returns the next read that is needed before an operation can be decided, or
 // nil if every slot is up to date or a call is in flight. Like Next, it puts the
 // returned call in flight.
-func (l *Log) Load() *Call {
+func (l *Log) NextRead() *Call {
 	if l.callInFlight {
 		return nil
 	}
@@ -134,15 +134,15 @@
 	return call
 }
 
-// Failed records that a read failed. A later call to Next or Load returns the read
+// ReadFailed records that a read failed. A later call to Next or NextRead returns the read
 // again if it is still needed.
-func (l *Log) Failed() {
+func (l *Log) ReadFailed() {
 	l.callInFlight = false
 }
 
-// Read records the result of a read of slot i. A nil value means that the key does not
+// ReadDone records the result of a read of slot i. A nil value means that the key does not
 // exist. A value that cannot be decoded ends every operation with ErrCorrupt.
-func (l *Log) Read(i int, revision int64, value []byte) []Verdict {
+func (l *Log) ReadDone(i int, revision int64, value []byte) []Verdict {
 	l.callInFlight = false
 	s := slot{loaded: true, revision: revision, readAt: l.readSent}
 	if value != nil {
@@ -166,10 +166,10 @@
 	return out
 }
 
-// Swapped records the outcome of a swap of slot i, with the new revision if it took
+// SwapDone records the outcome of a swap of slot i, with the new revision if it took
 // effect. Otherwise the slot is read again before anything else is decided: its
 // content shows for each operation whether it took effect.
-func (l *Log) Swapped(i int, outcome Outcome, revision int64) []Verdict {
+func (l *Log) SwapDone(i int, outcome Outcome, revision int64) []Verdict {
 	l.callInFlight = false
 	batch, working := l.batch, l.proposed
 	l.batch, l.proposed = nil, nil
--- a/internal/claim/op.go
+++ b/internal/claim/op.go
@@ -64,5 +64,5 @@
 const (
 	Unknown Outcome = iota
 	TookEffect
-	DidNot
+	NoEffect
 )
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -76,8 +76,8 @@
 type Record struct {
 	// Key identifies the action.
 	Key Key `json:"k"`
-	// Body is the digest of the action's request, as returned by DigestBody.
-	Body string `json:"b"`
+	// BodyDigest is the digest of the action's request, as returned by DigestBody.
+	BodyDigest string `json:"b"`
 	// VM is the name of the VM that made the claim.
 	VM string `json:"v"`
 	// Attempt is an ID that is never reused. Only the VM that made the attempt may
--- a/internal/claim/record_test.go
+++ b/internal/claim/record_test.go
@@ -10,7 +10,7 @@
 // FuzzDecode decodes arbitrary values of the key-value service. A value that is accepted
 // must decode again after it was encoded, with the same number of records.
 func FuzzDecode(f *testing.F) {
-	s := &segment{Generation: 3, Records: []Record{{Key: "k", Body: "b", VM: "v", Attempt: "a", Answer: &Answer{Status: 200, Body: []byte("x")}}}}
+	s := &segment{Generation: 3, Records: []Record{{Key: "k", BodyDigest: "b", VM: "v", Attempt: "a", Answer: &Answer{Status: 200, Body: []byte("x")}}}}
 	f.Add(s.encode())
 	f.Add([]byte(`{"g":0}`))
 	f.Add([]byte(`[]`))
@@ -34,7 +34,7 @@
 	l.Submit(Op{ID: 1, Record: Record{Key: "k", Attempt: "a", ClaimedAt: now}, Deadline: now.Add(time.Second)})
 	call, _ := l.Next(now)
 	require.False(t, call.Swap)
-	verdicts := l.Read(call.Slot, 9, []byte("{"))
+	verdicts := l.ReadDone(call.Slot, 9, []byte("{"))
 	require.Len(t, verdicts, 1)
 	require.ErrorIs(t, verdicts[0].Err, ErrCorrupt)
 	call, _ = l.Next(now)
@@ -58,10 +58,10 @@
 		}
 		if call.Swap {
 			writes++
-			granted += len(l.Swapped(call.Slot, TookEffect, int64(writes)))
+			granted += len(l.SwapDone(call.Slot, TookEffect, int64(writes)))
 			continue
 		}
-		l.Read(call.Slot, 0, nil)
+		l.ReadDone(call.Slot, 0, nil)
 	}
 	require.Equal(t, 1, writes)
 	require.Equal(t, 100, granted)
@@ -75,21 +75,21 @@
 	answer := &Answer{Status: 200, Body: make([]byte, 300)}
 	for i := range 200 {
 		id := KeyOf("team", string(rune(i)))
-		l.Submit(Op{ID: uint64(i), Record: Record{Key: id, Body: string(id), VM: "vm-1", Attempt: string(id), ClaimedAt: now, Answer: answer}, Deadline: now.Add(time.Second)})
+		l.Submit(Op{ID: uint64(i), Record: Record{Key: id, BodyDigest: string(id), VM: "vm-1", Attempt: string(id), ClaimedAt: now, Answer: answer}, Deadline: now.Add(time.Second)})
 	}
 	for range 3 {
 		call, _ := l.Next(now)
 		if call.Swap {
-			l.Swapped(call.Slot, TookEffect, 1)
+			l.SwapDone(call.Slot, TookEffect, 1)
 			continue
 		}
-		l.Read(call.Slot, 0, nil)
+		l.ReadDone(call.Slot, 0, nil)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		l.Submit(Op{ID: 1000, Record: Record{Key: "k", Attempt: "a", ClaimedAt: now}, Deadline: now.Add(time.Second)})
 		call, _ := l.Next(now)
-		l.Swapped(call.Slot, DidNot, 0)
+		l.SwapDone(call.Slot, NoEffect, 0)
 		l.Expire(now.Add(time.Hour))
 		l.slots[call.Slot].loaded = true
 	}
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -25,11 +25,11 @@
 	maxClaimRounds = 4
 )
 
-// Asker queries a VM for the state of an attempt that the VM made.
-type Asker interface {
-	// Ask returns the attempt's state and its answer, or an error if the VM did
+// AttemptQuerier queries a VM for the state of an attempt that the VM made.
+type AttemptQuerier interface {
+	// QueryAttempt returns the attempt's state and its answer, or an error if the VM did
 	// not reply.
-	Ask(ctx context.Context, vm, attempt string) (claim.State, *claim.Answer, error)
+	QueryAttempt(ctx context.Context, vm, attempt string) (claim.State, *claim.Answer, error)
 }
 
 // Options configures Claims.
@@ -40,8 +40,8 @@
 	Environment string
 	// VM is this VM's name.
 	VM string
-	// Asker queries other VMs.
-	Asker Asker
+	// Querier queries other VMs.
+	Querier AttemptQuerier
 	// Forwarder submits operations to other VMs. If it is nil, every operation is
 	// executed locally.
 	Forwarder Forwarder
@@ -121,7 +121,7 @@
 	rechecked := false
 	for range maxClaimRounds {
 		op.Record = claim.Record{
-			Key: claim.KeyOf(team, idempotencyKey), Body: body, VM: c.options.VM,
+			Key: claim.KeyOf(team, idempotencyKey), BodyDigest: body, VM: c.options.VM,
 			Attempt: uuid.NewString(), ClaimedAt: time.Now(),
 		}
 		verdict := c.submitAttempt(ctx, op)
@@ -170,7 +170,7 @@
 // resolveExisting decides what an existing claim means for a request. It returns the
 // attempt that the request may take over, or the error to return from Claim.
 func (c *Claims) resolveExisting(ctx context.Context, found *claim.Record, body string) (string, error) {
-	if found.Body != body {
+	if found.BodyDigest != body {
 		return "", errors.WithStack(ErrKeyReused)
 	}
 	if found.Answer != nil {
@@ -196,13 +196,13 @@
 		state, answer := c.State(found.Attempt)
 		return state, answer, nil
 	}
-	return c.options.Asker.Ask(ctx, found.VM, found.Attempt)
+	return c.options.Querier.QueryAttempt(ctx, found.VM, found.Attempt)
 }
 
 // State returns the state of an attempt that this VM made, and its answer if it is
 // done.
 func (c *Claims) State(attempt string) (state claim.State, answer *claim.Answer) {
-	c.withAttempts(func(a *claim.Attempts) { state, answer = a.Ask(attempt) })
+	c.withAttempts(func(a *claim.Attempts) { state, answer = a.Lookup(attempt) })
 	return state, answer
 }
 
@@ -213,15 +213,15 @@
 }
 
 // Dispatch reports whether the action may be sent now. It returns true only once,
-// unless Unsent reverts the dispatch.
+// unless RevertDispatch reverts the dispatch.
 func (t *Attempt) Dispatch() (allowed bool) {
 	t.claims.withAttempts(func(a *claim.Attempts) { allowed = a.Dispatch(t.record.Attempt, time.Now()) })
 	return allowed
 }
 
-// Unsent reverts a dispatch of which no byte can have reached the upstream.
-func (t *Attempt) Unsent() {
-	t.claims.withAttempts(func(a *claim.Attempts) { a.Unsent(t.record.Attempt) })
+// RevertDispatch reverts a dispatch of which no byte can have reached the upstream.
+func (t *Attempt) RevertDispatch() {
+	t.claims.withAttempts(func(a *claim.Attempts) { a.RevertDispatch(t.record.Attempt) })
 }
 
 // Abandon gives the attempt up. It reports whether the action is certain not to have
@@ -231,15 +231,15 @@
 	return notRun
 }
 
-// Lost ends an attempt that was dispatched and whose outcome is unknown.
-func (t *Attempt) Lost() {
+// MarkLost ends an attempt that was dispatched and whose outcome is unknown.
+func (t *Attempt) MarkLost() {
 	t.claims.withAttempts(func(a *claim.Attempts) { a.Forget(t.record.Attempt) })
 }
 
-// Answered ends an attempt with its answer. It returns immediately and the answer is
+// Complete ends an attempt with its answer. It returns immediately and the answer is
 // stored in the background. Until it is stored, this VM returns it to VMs that query
 // the attempt. A body larger than claim.MaxAnswerBytes is omitted.
-func (t *Attempt) Answered(status int, contentType string, body []byte) {
+func (t *Attempt) Complete(status int, contentType string, body []byte) {
 	answer := &claim.Answer{Status: status, ContentType: contentType, Body: body}
 	if len(body) > claim.MaxAnswerBytes {
 		answer.Body, answer.Omitted = nil, true
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -40,7 +40,7 @@
 
 // start starts or restarts a VM's process.
 func (f *fleet) start(t *testing.T, name string) *Claims {
-	c := New(Options{Store: f.store, Environment: "test", VM: name, Asker: f, Timeout: time.Second, Forwarder: f, Preferred: f.preferred})
+	c := New(Options{Store: f.store, Environment: "test", VM: name, Querier: f, Timeout: time.Second, Forwarder: f, Preferred: f.preferred})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -75,8 +75,8 @@
 	return v, nil
 }
 
-// Ask implements Asker.
-func (f *fleet) Ask(_ context.Context, vm, attempt string) (claim.State, *claim.Answer, error) {
+// QueryAttempt implements AttemptQuerier.
+func (f *fleet) QueryAttempt(_ context.Context, vm, attempt string) (claim.State, *claim.Answer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	state, answer := f.vms[vm].State(attempt)
@@ -98,7 +98,7 @@
 		return ErrUnavailable
 	}
 	executed(key)
-	attempt.Answered(200, "text/plain", []byte("answer to "+key))
+	attempt.Complete(200, "text/plain", []byte("answer to "+key))
 	return nil
 }
 
@@ -130,11 +130,11 @@
 		}
 	}
 	for range 20 {
-		f.store.Change(func(x *kvtest.Faults) { x.LoseAnswers, x.HoldRequests, x.LoseRequests = 2, 1, 1 })
+		f.store.UpdateFaults(func(x *kvtest.Faults) { x.LoseAnswers, x.HoldRequests, x.LoseRequests = 2, 1, 1 })
 		time.Sleep(10 * time.Millisecond)
 		f.store.Release(nil)
 	}
-	f.store.Change(func(x *kvtest.Faults) { *x = kvtest.Faults{} })
+	f.store.UpdateFaults(func(x *kvtest.Faults) { *x = kvtest.Faults{} })
 	wg.Wait()
 	for i := range keys {
 		key := fmt.Sprint("key-", i)
@@ -148,17 +148,17 @@
 	}
 }
 
-// delayedAsker runs beforeAsk before each query, so that the claimant can store the
+// delayedQuerier runs beforeQuery before each query, so that the claimant can store the
 // answer and forget the attempt first.
-type delayedAsker struct {
+type delayedQuerier struct {
 	*fleet
-	beforeAsk func()
+	beforeQuery func()
 }
 
-// Ask implements Asker.
-func (s delayedAsker) Ask(ctx context.Context, vm, attempt string) (claim.State, *claim.Answer, error) {
-	s.beforeAsk()
-	return s.fleet.Ask(ctx, vm, attempt)
+// QueryAttempt implements AttemptQuerier.
+func (s delayedQuerier) QueryAttempt(ctx context.Context, vm, attempt string) (claim.State, *claim.Answer, error) {
+	s.beforeQuery()
+	return s.fleet.QueryAttempt(ctx, vm, attempt)
 }
 
 // Guards against reporting "outcome unknown" for an action that was answered. A retry
@@ -170,8 +170,8 @@
 	attempt, err := f.vms["a"].Claim(t.Context(), "team", "k", "body")
 	require.NoError(t, err)
 	require.True(t, attempt.Dispatch())
-	f.vms["b"].options.Asker = delayedAsker{fleet: f, beforeAsk: sync.OnceFunc(func() {
-		attempt.Answered(200, "text/plain", []byte("receipt"))
+	f.vms["b"].options.Querier = delayedQuerier{fleet: f, beforeQuery: sync.OnceFunc(func() {
+		attempt.Complete(200, "text/plain", []byte("receipt"))
 		require.NoError(t, f.vms["a"].Flush(t.Context()))
 	})}
 	_, err = f.vms["b"].Claim(t.Context(), "team", "k", "body")
@@ -206,10 +206,10 @@
 // request runs it.
 func TestOutageRefusesActions(t *testing.T) {
 	f := newFleet(t, "a", "b")
-	f.store.Change(func(x *kvtest.Faults) { x.Outage = true })
+	f.store.UpdateFaults(func(x *kvtest.Faults) { x.Outage = true })
 	_, err := f.vms["a"].Claim(t.Context(), "team", "k", "body")
 	require.ErrorIs(t, err, ErrUnavailable)
-	f.store.Change(func(x *kvtest.Faults) { x.Outage = false })
+	f.store.UpdateFaults(func(x *kvtest.Faults) { x.Outage = false })
 	attempt, err := f.vms["b"].Claim(t.Context(), "team", "k", "body")
 	require.NoError(t, err)
 	require.True(t, attempt.Dispatch())
@@ -220,10 +220,10 @@
 // after its sender has timed out, so the claim belongs to an attempt that never runs.
 func TestLateClaimIsTakenOver(t *testing.T) {
 	f := newFleet(t, "a", "b")
-	f.store.Change(func(x *kvtest.Faults) { x.HoldRequests = 1000 })
+	f.store.UpdateFaults(func(x *kvtest.Faults) { x.HoldRequests = 1000 })
 	_, err := f.vms["a"].Claim(t.Context(), "team", "k", "body")
 	require.ErrorIs(t, err, ErrUnavailable)
-	f.store.Change(func(x *kvtest.Faults) { x.HoldRequests = 0 })
+	f.store.UpdateFaults(func(x *kvtest.Faults) { x.HoldRequests = 0 })
 	f.store.Release(nil)
 	attempt, err := f.vms["b"].Claim(t.Context(), "team", "k", "body")
 	require.NoError(t, err)
@@ -245,17 +245,17 @@
 	pool, err := peer.NewPool(security)
 	require.NoError(t, err)
 	defer pool.Close()
-	asker := PeerAsker{Pool: pool, Address: func(vm string) string {
+	asker := PeerClient{Pool: pool, Address: func(vm string) string {
 		return map[string]string{"a": listener.Addr().String()}[vm]
 	}}
 	attempt, err := f.vms["a"].Claim(t.Context(), "team", "k", "body")
 	require.NoError(t, err)
 	id := attempt.record.Attempt
-	state, _, err := asker.Ask(t.Context(), "a", id)
+	state, _, err := asker.QueryAttempt(t.Context(), "a", id)
 	require.NoError(t, err)
 	require.Equal(t, claim.Waiting, state)
 	require.True(t, attempt.Abandon())
-	state, _, err = asker.Ask(t.Context(), "a", id)
+	state, _, err = asker.QueryAttempt(t.Context(), "a", id)
 	require.NoError(t, err)
 	require.Equal(t, claim.Abandoned, state)
 	takeOver := attempt.record
@@ -267,7 +267,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "another", v.Found.Attempt)
 	require.WithinDuration(t, takeOver.ClaimedAt, v.Found.ClaimedAt, 0)
-	_, _, err = asker.Ask(t.Context(), "gone", id)
+	_, _, err = asker.QueryAttempt(t.Context(), "gone", id)
 	require.ErrorIs(t, err, ErrUnknownVM)
 	cancel()
 	require.NoError(t, errors.WithStack(<-served))
@@ -300,7 +300,7 @@
 					b.Fatal(err)
 				}
 				attempt.Dispatch()
-				attempt.Answered(200, "text/plain", nil)
+				attempt.Complete(200, "text/plain", nil)
 				if stored {
 					_ = c.Flush(ctx)
 				}
--- a/internal/claims/forward.go
+++ b/internal/claims/forward.go
@@ -41,7 +41,7 @@
 
 // Submit implements Forwarder. It returns ErrUnknownVM if Address has no address for
 // the VM.
-func (p PeerAsker) Submit(ctx context.Context, vm string, op claim.Op) (claim.Verdict, error) {
+func (p PeerClient) Submit(ctx context.Context, vm string, op claim.Op) (claim.Verdict, error) {
 	address := p.Address(vm)
 	if address == "" {
 		return claim.Verdict{}, ErrUnknownVM
@@ -99,7 +99,7 @@
 		return nil
 	}
 	return &peerpb.ClaimRecord{
-		Key: string(r.Key), Body: r.Body, Vm: r.VM, Attempt: r.Attempt,
+		Key: string(r.Key), Body: r.BodyDigest, Vm: r.VM, Attempt: r.Attempt,
 		ClaimedAt: r.ClaimedAt.UnixNano(), Answer: encodeAnswer(r.Answer),
 	}
 }
@@ -109,7 +109,7 @@
 		return nil
 	}
 	return &claim.Record{
-		Key: claim.Key(m.GetKey()), Body: m.GetBody(), VM: m.GetVm(), Attempt: m.GetAttempt(),
+		Key: claim.Key(m.GetKey()), BodyDigest: m.GetBody(), VM: m.GetVm(), Attempt: m.GetAttempt(),
 		ClaimedAt: time.Unix(0, m.GetClaimedAt()), Answer: decodeAnswer(m.GetAnswer()),
 	}
 }
--- a/internal/claims/peers.go
+++ b/internal/claims/peers.go
@@ -18,18 +18,18 @@
 // ErrUnknownVM means that no address is known for a VM.
 var ErrUnknownVM = errors.New("claims: unknown VM")
 
-// PeerAsker queries other VMs and forwards operations to them over gRPC. It
-// implements Asker and Forwarder.
-type PeerAsker struct {
+// PeerClient queries other VMs and forwards operations to them over gRPC. It
+// implements AttemptQuerier and Forwarder.
+type PeerClient struct {
 	// Pool is used for the calls.
 	Pool *peer.Pool
 	// Address returns a VM's peer address, or "" if it is unknown.
 	Address func(vm string) string
 }
 
-// Ask implements Asker. It returns ErrUnknownVM if Address has no address for the
+// QueryAttempt implements AttemptQuerier. It returns ErrUnknownVM if Address has no address for the
 // VM.
-func (p PeerAsker) Ask(ctx context.Context, vm, attempt string) (claim.State, *claim.Answer, error) {
+func (p PeerClient) QueryAttempt(ctx context.Context, vm, attempt string) (claim.State, *claim.Answer, error) {
 	address := p.Address(vm)
 	if address == "" {
 		return claim.Lost, nil, errors.Wrap(ErrUnknownVM, vm)
--- a/internal/claims/shard.go
+++ b/internal/claims/shard.go
@@ -124,7 +124,7 @@
 // for all of the shard's segments to be read. It ends early if an operation arrives.
 func (s *shard) preload(ctx context.Context) error {
 	for {
-		call := s.log.Load()
+		call := s.log.NextRead()
 		if call == nil {
 			return nil
 		}
@@ -190,12 +190,12 @@
 	entry, err := s.store.Get(ctx, key)
 	switch {
 	case errors.Is(err, kv.ErrNotFound):
-		s.deliverVerdicts(s.log.Read(c.Slot, kv.RevisionAbsent, nil))
+		s.deliverVerdicts(s.log.ReadDone(c.Slot, kv.RevisionAbsent, nil))
 	case err != nil:
-		s.log.Failed()
+		s.log.ReadFailed()
 		return false
 	default:
-		s.deliverVerdicts(s.log.Read(c.Slot, entry.Revision, entry.Value))
+		s.deliverVerdicts(s.log.ReadDone(c.Slot, entry.Revision, entry.Value))
 	}
 	return true
 }
@@ -205,10 +205,10 @@
 	result, err := s.store.CompareAndSwap(ctx, key, c.Expected, c.Value, kv.NoLease)
 	if err != nil {
 		// Whatever the error is, the write may still take effect later.
-		s.deliverVerdicts(s.log.Swapped(c.Slot, claim.Unknown, 0))
+		s.deliverVerdicts(s.log.SwapDone(c.Slot, claim.Unknown, 0))
 		return false
 	}
-	s.deliverVerdicts(s.log.Swapped(c.Slot, outcomeOf(result.Outcome), result.Revision))
+	s.deliverVerdicts(s.log.SwapDone(c.Slot, outcomeOf(result.Outcome), result.Revision))
 	return result.Outcome != kv.Unknown
 }
 
@@ -216,8 +216,8 @@
 	switch o {
 	case kv.TookEffect:
 		return claim.TookEffect
-	case kv.DidNot:
-		return claim.DidNot
+	case kv.NoEffect:
+		return claim.NoEffect
 	}
 	return claim.Unknown
 }
--- a/internal/configstate/evidence.go
+++ b/internal/configstate/evidence.go
@@ -83,12 +83,12 @@
 
 func share(part, whole int64) float64 { return float64(part) / float64(whole) }
 
-// Combine adds up the evidence of the VMs of an environment. The time in force is
+// CombineEvidence adds up the evidence of the VMs of an environment. The time in force is
 // that of the VM which has had the document longest, since all others follow
 // within seconds and none goes back to an older version. It returns a
 // ThresholdError if there is no evidence or if the VMs have different documents
 // in force.
-func Combine(parts []Evidence) (*Evidence, error) {
+func CombineEvidence(parts []Evidence) (*Evidence, error) {
 	if len(parts) == 0 {
 		return nil, &ThresholdError{Threshold: "evidence", Want: "evidence of every VM", Have: "none"}
 	}
--- a/internal/configstate/snapshot.go
+++ b/internal/configstate/snapshot.go
@@ -17,8 +17,8 @@
 	ErrKeyWithdrawn = errors.New("configstate: key withdrawn")
 )
 
-// Holder is the owner of a key.
-type Holder struct {
+// KeyOwner is the owner of a key.
+type KeyOwner struct {
 	// Team is the name of the team.
 	Team string
 	// KeyID identifies the key in logs.
@@ -36,7 +36,7 @@
 	// Document is the validated document.
 	Document *document.Document
 
-	owners       map[string]Holder
+	owners       map[string]KeyOwner
 	withdrawn    map[string]struct{}
 	withdrawnSum uint64
 }
@@ -48,7 +48,7 @@
 		ChangeID:  changeID,
 		Digest:    digest,
 		Document:  doc,
-		owners:    make(map[string]Holder),
+		owners:    make(map[string]KeyOwner),
 		withdrawn: make(map[string]struct{}, len(withdrawn)),
 	}
 	for _, d := range withdrawn {
@@ -57,7 +57,7 @@
 	}
 	for _, team := range doc.Teams {
 		for _, key := range team.Keys {
-			s.owners[key.SHA256] = Holder{Team: team.Name, KeyID: key.ID}
+			s.owners[key.SHA256] = KeyOwner{Team: team.Name, KeyID: key.ID}
 		}
 	}
 	return s
@@ -79,13 +79,13 @@
 
 // Authenticate returns the owner of the key with this digest. It returns
 // ErrKeyWithdrawn or ErrUnknownKey if there is none.
-func (s *Snapshot) Authenticate(digest string) (Holder, error) {
+func (s *Snapshot) Authenticate(digest string) (KeyOwner, error) {
 	if _, withdrawn := s.withdrawn[digest]; withdrawn {
-		return Holder{}, ErrKeyWithdrawn
+		return KeyOwner{}, ErrKeyWithdrawn
 	}
 	owner, ok := s.owners[digest]
 	if !ok {
-		return Holder{}, ErrUnknownKey
+		return KeyOwner{}, ErrUnknownKey
 	}
 	return owner, nil
 }
--- a/internal/configstate/state_test.go
+++ b/internal/configstate/state_test.go
@@ -53,7 +53,7 @@
 	require.NoError(t, err)
 	owner, err := s.Snapshot().Authenticate(key)
 	require.NoError(t, err)
-	require.Equal(t, Holder{Team: "t", KeyID: "k0"}, owner)
+	require.Equal(t, KeyOwner{Team: "t", KeyID: "k0"}, owner)
 
 	before := s.Snapshot().WithdrawnSum()
 	changed, err := s.Withdraw([]string{key})
--- a/internal/configsync/errors.go
+++ b/internal/configsync/errors.go
@@ -18,8 +18,8 @@
 	ErrEnvironment = errors.New("configsync: document of another environment")
 	// ErrNothingAccepted means that no configuration was ever accepted.
 	ErrNothingAccepted = errors.New("configsync: nothing accepted yet")
-	// ErrNotKept means that a version is not in the history.
-	ErrNotKept = errors.New("configsync: version not in the history")
+	// ErrNotInHistory means that a version is not in the history.
+	ErrNotInHistory = errors.New("configsync: version not in the history")
 )
 
 // ConflictError describes the accepted change that a refused change would have
--- a/internal/configsync/evidence.go
+++ b/internal/configsync/evidence.go
@@ -28,7 +28,7 @@
 
 // NewTally returns a tally for the configuration that a syncer puts in force. It has
 // to be created before the syncer's Run.
-func NewTally(s *Keeper) *Tally {
+func NewTally(s *Syncer) *Tally {
 	t := &Tally{clock: s.options.Clock}
 	t.current.Store(new(counters))
 	s.OnChange(t.handleSnapshot)
@@ -44,9 +44,9 @@
 	t.current.Store(&counters{environment: s.Document.Environment, version: s.Version, digest: s.Digest, since: t.clock()})
 }
 
-// Request counts a finished request. attained means that it stayed within the
+// RecordRequest counts a finished request. attained means that it stayed within the
 // latency objectives.
-func (t *Tally) Request(attained, failed bool) {
+func (t *Tally) RecordRequest(attained, failed bool) {
 	c := t.current.Load()
 	c.requests.Add(1)
 	if attained {
--- a/internal/configsync/fuzz_oracle_test.go
+++ b/internal/configsync/fuzz_oracle_test.go
@@ -46,7 +46,7 @@
 // the accepted envelopes.
 func (sim *simulation) settle() error {
 	sim.settling = true
-	sim.store.Change(func(f *kvtest.Faults) { *f = kvtest.Faults{} })
+	sim.store.UpdateFaults(func(f *kvtest.Faults) { *f = kvtest.Faults{} })
 	sim.store.Release(nil)
 	for range 2 {
 		for _, vm := range sim.vms {
@@ -76,7 +76,7 @@
 		times[e.Nonce]++
 	}
 	for nonce, outcome := range sim.reported {
-		if outcome == kv.TookEffect && times[nonce] != 1 || outcome == kv.DidNot && times[nonce] != 0 {
+		if outcome == kv.TookEffect && times[nonce] != 1 || outcome == kv.NoEffect && times[nonce] != 0 {
 			return errors.Errorf("change %s: outcome %q reported, but accepted %d times", nonce, outcome, times[nonce])
 		}
 	}
--- a/internal/configsync/fuzz_test.go
+++ b/internal/configsync/fuzz_test.go
@@ -56,7 +56,7 @@
 // simulatedVM is one VM: its syncer, the entries of its watch that were not
 // delivered yet, and what the oracle expects of it.
 type simulatedVM struct {
-	*Keeper
+	*Syncer
 	stop    context.CancelFunc
 	watch   <-chan kv.Entry
 	queue   []kv.Entry
@@ -104,7 +104,7 @@
 
 func (sim *simulation) startVM() *simulatedVM {
 	vm := &simulatedVM{withdrawn: make(map[string]bool)}
-	vm.Keeper = NewKeeper(Options{
+	vm.Syncer = NewSyncer(Options{
 		Store:       slowPollStore{sim.store, sim},
 		Environment: "test",
 		Clock: func() clock.Reading {
@@ -160,7 +160,7 @@
 	case errors.Is(err, ErrUnknown):
 		sim.reported[nonce] = kv.Unknown
 	default:
-		sim.reported[nonce] = kv.DidNot
+		sim.reported[nonce] = kv.NoEffect
 	}
 }
 
@@ -259,9 +259,9 @@
 	count := rapid.IntRange(0, 2)
 	switch rapid.IntRange(0, 5).Draw(sim.t, "disturbance") {
 	case 0:
-		sim.store.Change(func(f *kvtest.Faults) { f.Outage = !f.Outage })
+		sim.store.UpdateFaults(func(f *kvtest.Faults) { f.Outage = !f.Outage })
 	case 1:
-		sim.store.Change(func(f *kvtest.Faults) {
+		sim.store.UpdateFaults(func(f *kvtest.Faults) {
 			f.LoseAnswers, f.LoseRequests, f.HoldRequests = count.Draw(sim.t, "answers"), count.Draw(sim.t, "requests"), count.Draw(sim.t, "held")
 		})
 	case 2:
@@ -279,7 +279,7 @@
 			vm.wallLag += pause
 		}
 	case 5:
-		sim.store.Change(func(f *kvtest.Faults) { f.SilentWatch = !f.SilentWatch })
+		sim.store.UpdateFaults(func(f *kvtest.Faults) { f.SilentWatch = !f.SilentWatch })
 	}
 }
 
--- a/internal/configsync/history.go
+++ b/internal/configsync/history.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	result, err := kv.Settle(ctx, w.Store, kv.Attempt{Key: key, Expected: entry.Revision, Value: data, Mine: attemptVerdict(e), Resend: true, Sleep: w.Sleep})
+	result, err := kv.Settle(ctx, w.Store, kv.Attempt{Key: key, Expected: entry.Revision, Value: data, Classify: attemptVerdict(e), Resend: true, Sleep: w.Sleep})
 	if err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 }
 
 // Version returns the accepted envelope with this version, the current one or one
-// from the history. It returns ErrNotKept for a version that never existed or has
+// from the history. It returns ErrNotInHistory for a version that never existed or has
 // been overwritten.
 func (w *Writer) Version(ctx context.Context, version int64) (*configstate.Envelope, error) {
 	current, err := w.load(ctx)
@@ -50,7 +50,7 @@
 		return current.envelope, nil
 	}
 	if current.envelope == nil || version < 1 || version > current.envelope.Version {
-		return nil, errors.Wrapf(ErrNotKept, "version %d", version)
+		return nil, errors.Wrapf(ErrNotInHistory, "version %d", version)
 	}
 	return w.archived(ctx, version)
 }
@@ -58,7 +58,7 @@
 func (w *Writer) archived(ctx context.Context, version int64) (*configstate.Envelope, error) {
 	entry, err := w.Store.Get(ctx, HistoryKey(w.Environment, version))
 	if errors.Is(err, kv.ErrNotFound) {
-		return nil, errors.Wrapf(ErrNotKept, "version %d", version)
+		return nil, errors.Wrapf(ErrNotInHistory, "version %d", version)
 	}
 	if err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 		return nil, err
 	}
 	if e.Version != version {
-		return nil, errors.Wrapf(ErrNotKept, "version %d", version)
+		return nil, errors.Wrapf(ErrNotInHistory, "version %d", version)
 	}
 	return e, nil
 }
@@ -82,7 +82,7 @@
 	list := []*configstate.Envelope{current.envelope}
 	for v := current.envelope.Version - 1; v > 0 && len(list) < min(limit, HistorySlots); v-- {
 		e, err := w.archived(ctx, v)
-		if errors.Is(err, ErrNotKept) {
+		if errors.Is(err, ErrNotInHistory) {
 			// Restoring the service from an older copy leaves a gap in the
 			// versions.
 			continue
@@ -113,10 +113,10 @@
 	case current.envelope.Nonce == c.Nonce:
 		return kv.TookEffect, current.envelope, nil
 	case current.envelope.Version == baseVersion+1:
-		return kv.DidNot, current.envelope, nil
+		return kv.NoEffect, current.envelope, nil
 	}
 	archived, err := w.archived(ctx, baseVersion+1)
-	if errors.Is(err, ErrNotKept) {
+	if errors.Is(err, ErrNotInHistory) {
 		return kv.Unknown, nil, nil
 	}
 	if err != nil {
@@ -125,7 +125,7 @@
 	if archived.Nonce == c.Nonce {
 		return kv.TookEffect, archived, nil
 	}
-	return kv.DidNot, archived, nil
+	return kv.NoEffect, archived, nil
 }
 
 // settleFromHistory determines from the history the outcome of a change that may
--- a/internal/configsync/loops.go
+++ b/internal/configsync/loops.go
@@ -20,7 +20,7 @@
 // poll reads the revision periodically. A watch that has stopped delivering cannot
 // be told from one without changes, so the poll detects it. Its responses also
 // renew the freshness.
-func (s *Keeper) poll(ctx context.Context) error {
+func (s *Syncer) poll(ctx context.Context) error {
 	failures := 0
 	awaited := int64(0)
 	for {
@@ -42,7 +42,7 @@
 // pollInterval grows with the fleet, because the read rate that the service
 // permits is fixed. The mean pause is three quarters of the interval because of
 // the jitter.
-func (s *Keeper) pollInterval() time.Duration {
+func (s *Syncer) pollInterval() time.Duration {
 	fleetInterval := time.Duration(s.options.FleetSize()) * time.Second / time.Duration(s.options.FleetPollsPerSecond)
 	interval := max(s.options.PollInterval, fleetInterval*4/3)
 	if !s.options.Watches() {
@@ -54,7 +54,7 @@
 // pollOnce returns the revision that the watch has yet to deliver, or zero, and
 // whether the poll succeeded. A watch that has not delivered the revision by the
 // next poll is considered silent.
-func (s *Keeper) pollOnce(ctx context.Context, awaited int64) (int64, bool) {
+func (s *Syncer) pollOnce(ctx context.Context, awaited int64) (int64, bool) {
 	var before int64
 	if err := s.runOnOwner(ctx, func() { before = s.revision }); err != nil {
 		return awaited, false
@@ -104,7 +104,7 @@
 // revision, everything accepted from now on would look outdated. The configuration
 // in force here is written to the service again: otherwise a VM that starts would
 // revert to the copy.
-func (s *Keeper) recoverFromRollback(ctx context.Context) error {
+func (s *Syncer) recoverFromRollback(ctx context.Context) error {
 	s.count("config.service_set_back")
 	s.options.Log.Error().Msg("revision of the key-value service went back; restoring the configuration in force there")
 	err := s.runOnOwner(ctx, func() {
@@ -125,7 +125,7 @@
 
 // read reads the stored envelope and applies it. It sets no time limit, because the
 // duration depends on the size of the envelope; the store ends a call that stalls.
-func (s *Keeper) read(ctx context.Context, source string) error {
+func (s *Syncer) read(ctx context.Context, source string) error {
 	entry, err := s.options.Store.Get(ctx, s.key)
 	if errors.Is(err, kv.ErrNotFound) {
 		return nil
@@ -136,7 +136,7 @@
 	return s.applyEntry(ctx, entry, source)
 }
 
-func (s *Keeper) applyEntry(ctx context.Context, entry kv.Entry, source string) error {
+func (s *Syncer) applyEntry(ctx context.Context, entry kv.Entry, source string) error {
 	if entry.Value == nil {
 		s.options.Log.Error().Str("key", s.key).Msg("configuration deleted from the key-value service; keeping the configuration in force")
 		return nil
@@ -151,7 +151,7 @@
 }
 
 // watch keeps one watch open and applies the entries that it delivers.
-func (s *Keeper) watch(ctx context.Context) error {
+func (s *Syncer) watch(ctx context.Context) error {
 	failures := 0
 	for ctx.Err() == nil {
 		if !s.options.Watches() {
@@ -174,7 +174,7 @@
 
 // watchOnce runs one watch until it breaks, was found silent or is no longer
 // wanted. It reports whether the watch delivered anything or ended on request.
-func (s *Keeper) watchOnce(ctx context.Context) (delivered bool, err error) {
+func (s *Syncer) watchOnce(ctx context.Context) (delivered bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var after int64
@@ -208,7 +208,7 @@
 }
 
 // backoff returns the pause after a number of consecutive failures.
-func (s *Keeper) backoff(failures int) time.Duration {
+func (s *Syncer) backoff(failures int) time.Duration {
 	pause := initialBackoff
 	for range failures {
 		pause = min(2*pause, s.options.MaxBackoff)
@@ -217,7 +217,7 @@
 }
 
 // mergeLoop writes pending withdrawals to the service as soon as it is available.
-func (s *Keeper) mergeLoop(ctx context.Context) error {
+func (s *Syncer) mergeLoop(ctx context.Context) error {
 	failures := 0
 	for {
 		select {
@@ -242,7 +242,7 @@
 
 // mergeOnce writes the pending withdrawals to the service. It reports whether the
 // service has every withdrawal of this VM.
-func (s *Keeper) mergeOnce(ctx context.Context) bool {
+func (s *Syncer) mergeOnce(ctx context.Context) bool {
 	var digests []string
 	err := s.runOnOwner(ctx, func() {
 		if e := s.state.Envelope(); e != nil {
--- a/internal/configsync/measure/main.go
+++ b/internal/configsync/measure/main.go
@@ -76,7 +76,7 @@
 	options
 	service  *standin.KV
 	bytes    atomic.Int64
-	syncers  []*configsync.Keeper
+	syncers  []*configsync.Syncer
 	stores   []*kv.HTTP
 	registry []metrics.Registry
 }
@@ -126,7 +126,7 @@
 		}
 		b.stores = append(b.stores, client)
 		b.registry = append(b.registry, registry)
-		b.syncers = append(b.syncers, configsync.NewKeeper(configsync.Options{
+		b.syncers = append(b.syncers, configsync.NewSyncer(configsync.Options{
 			Store: store, Environment: environment, PollInterval: b.pollInterval, Metrics: registry,
 			FleetSize: func() int { return b.vms },
 		}))
--- a/internal/configsync/measure/simulation.go
+++ b/internal/configsync/measure/simulation.go
@@ -37,7 +37,7 @@
 // node is one VM of the simulation: its membership and its configuration.
 type node struct {
 	members       *membership.State
-	syncer        *configsync.Keeper
+	syncer        *configsync.Syncer
 	nextHeartbeat time.Time
 	watches       bool
 	inForce       int64
@@ -127,7 +127,7 @@
 // reach: the simulation itself delivers what watches would deliver.
 func newUnreachableStore() *kvtest.Memory {
 	m := kvtest.NewMemory(nil)
-	m.Change(func(f *kvtest.Faults) { f.Outage = true })
+	m.UpdateFaults(func(f *kvtest.Faults) { f.Outage = true })
 	return m
 }
 
@@ -145,7 +145,7 @@
 		}
 		n := &node{
 			members:       membership.New(membership.Config{}, self),
-			syncer:        configsync.NewKeeper(configsync.Options{Store: store, Environment: environment, PollInterval: time.Hour, MaxBackoff: time.Hour}),
+			syncer:        configsync.NewSyncer(configsync.Options{Store: store, Environment: environment, PollInterval: time.Hour, MaxBackoff: time.Hour}),
 			nextHeartbeat: s.now.Add(time.Duration(s.random.Int64N(int64(fleet.DefaultPeriod)))),
 			watches:       i/failureDomains < watchersPerDomain,
 		}
--- a/internal/configsync/options.go
+++ b/internal/configsync/options.go
@@ -22,7 +22,7 @@
 	NoWatchPollFactor = 10
 )
 
-// Options configures a Keeper.
+// Options configures a Syncer.
 type Options struct {
 	// Store is the key-value service.
 	Store kv.Store
@@ -54,10 +54,10 @@
 	// that showed its configuration to be up to date. The default is
 	// configstate.DefaultFreshFor.
 	FreshFor time.Duration
-	// HearsPeers reports whether this VM receives heartbeats from more than half
+	// HasPeerMajority reports whether this VM receives heartbeats from more than half
 	// of the VMs of its last known fleet. While the service is down, the VM accepts
 	// work as long as this is true. The default is never.
-	HearsPeers func() bool
+	HasPeerMajority func() bool
 	// Sleep waits between two attempts to determine the outcome of a write, as in
 	// kv.Attempt. The default uses real time.
 	Sleep func(ctx context.Context, d time.Duration) bool
@@ -92,8 +92,8 @@
 	if o.FreshFor <= 0 {
 		o.FreshFor = configstate.DefaultFreshFor
 	}
-	if o.HearsPeers == nil {
-		o.HearsPeers = func() bool { return false }
+	if o.HasPeerMajority == nil {
+		o.HasPeerMajority = func() bool { return false }
 	}
 	if o.Metrics == nil {
 		o.Metrics = metrics.NewRegistry()
--- a/internal/configsync/syncer.go
+++ b/internal/configsync/syncer.go
@@ -16,10 +16,10 @@
 // ErrStopped means that the syncer's Run has ended.
 var ErrStopped = errors.New("configsync: syncer stopped")
 
-// Keeper keeps the configuration of one VM up to date. A goroutine of Run owns
+// Syncer keeps the configuration of one VM up to date. A goroutine of Run owns
 // the state; all methods are safe for concurrent use. Offer and Withdraw block
 // until that goroutine has applied the update.
-type Keeper struct {
+type Syncer struct {
 	options   Options
 	key       string
 	work      chan func()
@@ -56,10 +56,10 @@
 	encode func() ([]byte, error)
 }
 
-// NewKeeper returns a syncer that has no configuration yet.
-func NewKeeper(o Options) *Keeper {
+// NewSyncer returns a syncer that has no configuration yet.
+func NewSyncer(o Options) *Syncer {
 	o.applyDefaults()
-	s := &Keeper{
+	s := &Syncer{
 		options:        o,
 		key:            Key(o.Environment),
 		work:           make(chan func()),
@@ -76,10 +76,10 @@
 // OnChange registers a function that is called with every new snapshot, on the
 // goroutine that owns the state. It must neither block nor call Offer or Withdraw,
 // which wait for that goroutine. It has to be registered before Run.
-func (s *Keeper) OnChange(f func(*configstate.Snapshot)) { s.onChange = append(s.onChange, f) }
+func (s *Syncer) OnChange(f func(*configstate.Snapshot)) { s.onChange = append(s.onChange, f) }
 
 // Run synchronizes the configuration until ctx ends, and then returns nil.
-func (s *Keeper) Run(ctx context.Context) error {
+func (s *Syncer) Run(ctx context.Context) error {
 	defer close(s.stopped)
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return s.runOwner(ctx) })
@@ -91,7 +91,7 @@
 
 // runOwner runs the functions passed to runOnOwner. Its goroutine is the only one
 // that accesses the state.
-func (s *Keeper) runOwner(ctx context.Context) error {
+func (s *Syncer) runOwner(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -104,7 +104,7 @@
 
 // runOnOwner runs f on the goroutine of runOwner and waits for it to return. It
 // returns ErrStopped if Run has ended.
-func (s *Keeper) runOnOwner(ctx context.Context, f func()) error {
+func (s *Syncer) runOnOwner(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	work := func() {
 		defer close(done)
@@ -122,24 +122,24 @@
 }
 
 // Snapshot returns the configuration in force, nil if there is none yet.
-func (s *Keeper) Snapshot() *configstate.Snapshot { return s.published.Load().snapshot }
+func (s *Syncer) Snapshot() *configstate.Snapshot { return s.published.Load().snapshot }
 
 // Fresh reports whether this VM may accept new work, because it would have
 // received a withdrawal from the service or from more than half of the VMs. It
 // reads the clocks, so the result is valid only at the time of the call; check
 // again at dispatch.
-func (s *Keeper) Fresh() bool {
-	return s.ServiceFresh() || s.options.HearsPeers()
+func (s *Syncer) Fresh() bool {
+	return s.ServiceFresh() || s.options.HasPeerMajority()
 }
 
 // ServiceFresh reports whether a read of the service within the last FreshFor
 // showed the configuration to be up to date.
-func (s *Keeper) ServiceFresh() bool { return s.freshness.Load().Fresh(s.options.Clock()) }
+func (s *Syncer) ServiceFresh() bool { return s.freshness.Load().Fresh(s.options.Clock()) }
 
 // Envelope returns the version in force and its encoded envelope, with every
 // withdrawal of this VM, for peers with an older version. They are zero and nil if
 // there is none yet. The caller must not modify the envelope.
-func (s *Keeper) Envelope() (version int64, envelope []byte) {
+func (s *Syncer) Envelope() (version int64, envelope []byte) {
 	p := s.published.Load()
 	if p.snapshot == nil {
 		return 0, nil
@@ -155,7 +155,7 @@
 // UpdateSince returns the version in force and an update to it from a peer's
 // version: deltas if they are available and smaller, otherwise the envelope. The
 // update is nil if the peer's version is not older.
-func (s *Keeper) UpdateSince(have int64) (version int64, update []byte) {
+func (s *Syncer) UpdateSince(have int64) (version int64, update []byte) {
 	p := s.published.Load()
 	if p.snapshot == nil || p.snapshot.Version <= have {
 		return s.Version(), nil
@@ -175,7 +175,7 @@
 }
 
 // Version returns the version in force, 0 if there is none yet.
-func (s *Keeper) Version() int64 {
+func (s *Syncer) Version() int64 {
 	if snapshot := s.Snapshot(); snapshot != nil {
 		return snapshot.Version
 	}
@@ -184,14 +184,14 @@
 
 // PendingWithdrawals returns the number of withdrawals that are in effect at this
 // VM and not yet stored in the service.
-func (s *Keeper) PendingWithdrawals() int { return int(s.pending.Load()) }
+func (s *Syncer) PendingWithdrawals() int { return int(s.pending.Load()) }
 
 // Offer applies an encoded envelope or update from a peer. It returns nil once the
 // configuration is in force or turned out not to be newer,
 // configstate.ErrEnvelope, configstate.ErrDivergent or
 // configstate.ErrWrongEnvironment if it cannot be used, and configstate.ErrGap if
 // the whole envelope is needed.
-func (s *Keeper) Offer(ctx context.Context, data []byte) error {
+func (s *Syncer) Offer(ctx context.Context, data []byte) error {
 	u, err := configstate.DecodeUpdate(data)
 	if err != nil {
 		return err
@@ -206,7 +206,7 @@
 // Withdraw makes this VM refuse the keys with these digests at once. The
 // withdrawals stay pending until the service has them; the syncer writes them
 // there by itself.
-func (s *Keeper) Withdraw(ctx context.Context, digests []string) error {
+func (s *Syncer) Withdraw(ctx context.Context, digests []string) error {
 	var withdrawErr error
 	err := s.runOnOwner(ctx, func() {
 		changed, err := s.state.Withdraw(digests)
@@ -222,7 +222,7 @@
 }
 
 // applyUpdate applies an update to the state. It runs on the owner goroutine.
-func (s *Keeper) applyUpdate(u *configstate.Update, source string) error {
+func (s *Syncer) applyUpdate(u *configstate.Update, source string) error {
 	changed, err := s.state.OfferUpdate(u)
 	if err != nil {
 		s.count("config.refused")
@@ -236,7 +236,7 @@
 
 // applyStored applies an envelope that was read from the service or written to it.
 // It runs on the owner goroutine.
-func (s *Keeper) applyStored(e *configstate.Envelope, revision int64, source string) {
+func (s *Syncer) applyStored(e *configstate.Envelope, revision int64, source string) {
 	if revision < s.revision {
 		return
 	}
@@ -248,7 +248,7 @@
 	s.updatePending()
 }
 
-func (s *Keeper) publish(source string) {
+func (s *Syncer) publish(source string) {
 	snapshot := s.state.Snapshot()
 	if snapshot == nil {
 		s.updatePending()
@@ -288,7 +288,7 @@
 
 // updatePending counts the withdrawals that are missing in the service, and
 // requests a merge if there are any.
-func (s *Keeper) updatePending() {
+func (s *Syncer) updatePending() {
 	missing := len(s.state.Pending(s.stored))
 	s.pending.Store(int64(missing))
 	metrics.GetOrRegisterGauge("config.pending_withdrawals", s.options.Metrics).Update(int64(missing))
@@ -297,7 +297,7 @@
 	}
 }
 
-func (s *Keeper) count(name string) {
+func (s *Syncer) count(name string) {
 	metrics.GetOrRegisterCounter(name, s.options.Metrics).Inc(1)
 }
 
--- a/internal/configsync/syncer_test.go
+++ b/internal/configsync/syncer_test.go
@@ -30,12 +30,12 @@
 }
 
 // startSyncers runs n syncers with one store inside a synctest bubble.
-func startSyncers(t *testing.T, store kv.Store, n int) []*Keeper {
+func startSyncers(t *testing.T, store kv.Store, n int) []*Syncer {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, n)
-	syncers := make([]*Keeper, n)
+	syncers := make([]*Syncer, n)
 	for i := range syncers {
-		syncers[i] = NewKeeper(Options{Store: store, Environment: "test"})
+		syncers[i] = NewSyncer(Options{Store: store, Environment: "test"})
 		go func() { ended <- syncers[i].Run(ctx) }()
 	}
 	t.Cleanup(func() {
@@ -55,7 +55,7 @@
 	return accepted
 }
 
-func requireVersion(t *testing.T, syncers []*Keeper, version int64) {
+func requireVersion(t *testing.T, syncers []*Syncer, version int64) {
 	t.Helper()
 	for _, s := range syncers {
 		require.NotNil(t, s.Snapshot())
@@ -89,7 +89,7 @@
 		syncers := startSyncers(t, store, 7)
 		time.Sleep(time.Second)
 		requireVersion(t, syncers, 1)
-		store.Change(func(f *kvtest.Faults) { f.SilentWatch = true })
+		store.UpdateFaults(func(f *kvtest.Faults) { f.SilentWatch = true })
 		apply(t, store, 1, documentText(2))
 		time.Sleep(2 * DefaultPollInterval)
 		requireVersion(t, syncers, 2)
@@ -105,15 +105,15 @@
 		apply(t, store, 0, documentText(1))
 		s := startSyncers(t, store, 1)[0]
 		time.Sleep(time.Second)
-		store.Change(func(f *kvtest.Faults) { f.Outage = true })
+		store.UpdateFaults(func(f *kvtest.Faults) { f.Outage = true })
 		store.BreakWatches()
 		time.Sleep(time.Hour)
 		require.EqualValues(t, 1, s.Snapshot().Version)
 		require.False(t, s.Fresh())
-		s.options.HearsPeers = func() bool { return true }
+		s.options.HasPeerMajority = func() bool { return true }
 		require.True(t, s.Fresh())
-		s.options.HearsPeers = func() bool { return false }
-		store.Change(func(f *kvtest.Faults) { f.Outage = false })
+		s.options.HasPeerMajority = func() bool { return false }
+		store.UpdateFaults(func(f *kvtest.Faults) { f.Outage = false })
 		apply(t, store, 1, documentText(2))
 		time.Sleep(2*DefaultMaxBackoff + DefaultPollInterval)
 		require.EqualValues(t, 2, s.Snapshot().Version)
@@ -132,7 +132,7 @@
 		apply(t, store, 0, documentText(1, keyA, keyB))
 		syncers := startSyncers(t, store, 7)
 		time.Sleep(time.Second)
-		store.Change(func(f *kvtest.Faults) { f.Outage = true })
+		store.UpdateFaults(func(f *kvtest.Faults) { f.Outage = true })
 		for _, s := range syncers[:6] {
 			require.NoError(t, s.Withdraw(ctx, []string{keyA}))
 			_, err := s.Snapshot().Authenticate(keyA)
@@ -147,7 +147,7 @@
 		require.ErrorIs(t, err, configstate.ErrKeyWithdrawn)
 
 		time.Sleep(time.Minute)
-		store.Change(func(f *kvtest.Faults) { f.Outage = false })
+		store.UpdateFaults(func(f *kvtest.Faults) { f.Outage = false })
 		time.Sleep(10 * time.Second)
 		e, err := newWriter(store).Current(ctx)
 		require.NoError(t, err)
@@ -165,14 +165,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.NewMemory(nil)
 		apply(t, store, 0, documentText(1))
-		old := store.Image()
+		old := store.Snapshot()
 		for v := int64(1); v < 5; v++ {
 			apply(t, store, v, documentText(int(v)+1, keyA))
 		}
 		syncers := startSyncers(t, store, 7)
 		time.Sleep(time.Second)
 		requireVersion(t, syncers, 5)
-		store.SetBack(old)
+		store.Restore(old)
 		time.Sleep(3 * time.Second)
 		requireVersion(t, syncers, 5)
 		require.EqualValues(t, 5, currentEnvelope(t, store).Version)
@@ -218,29 +218,29 @@
 		store := kvtest.NewMemory(nil)
 		apply(t, store, 0, documentText(1))
 		var watches atomic.Bool
-		s := NewKeeper(Options{Store: store, Environment: "test", Watches: watches.Load})
+		s := NewSyncer(Options{Store: store, Environment: "test", Watches: watches.Load})
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() { ended <- s.Run(ctx) }()
 		time.Sleep(time.Second)
-		requireVersion(t, []*Keeper{s}, 1)
+		requireVersion(t, []*Syncer{s}, 1)
 		require.Zero(t, store.Calls().Watches)
 		before := store.Calls().Reads
 		time.Sleep(time.Minute)
 		require.Less(t, store.Calls().Reads-before, int(time.Minute/DefaultPollInterval)/4)
 		apply(t, store, 1, documentText(2))
 		time.Sleep(2 * NoWatchPollFactor * DefaultPollInterval)
-		requireVersion(t, []*Keeper{s}, 2)
+		requireVersion(t, []*Syncer{s}, 2)
 		watches.Store(true)
 		time.Sleep(time.Second)
 		apply(t, store, 2, documentText(3))
 		synctest.Wait()
-		requireVersion(t, []*Keeper{s}, 3)
+		requireVersion(t, []*Syncer{s}, 3)
 		watches.Store(false)
 		time.Sleep(time.Second)
 		apply(t, store, 3, documentText(4))
 		synctest.Wait()
-		requireVersion(t, []*Keeper{s}, 3)
+		requireVersion(t, []*Syncer{s}, 3)
 		cancel()
 		require.NoError(t, <-ended)
 	})
--- a/internal/configsync/writer.go
+++ b/internal/configsync/writer.go
@@ -72,7 +72,7 @@
 
 // Writer returns a writer whose versions are always newer than the one in force
 // here, and whose envelopes contain the withdrawals of this VM.
-func (s *Keeper) Writer() *Writer {
+func (s *Syncer) Writer() *Writer {
 	return &Writer{
 		Store:       s.options.Store,
 		Environment: s.options.Environment,
@@ -84,11 +84,11 @@
 
 // applyAccepted puts a change that was written through this VM in force here, so
 // that peers can get it from this VM before a watch has delivered it.
-func (s *Keeper) applyAccepted(ctx context.Context, a *Accepted) {
+func (s *Syncer) applyAccepted(ctx context.Context, a *Accepted) {
 	_ = s.runOnOwner(ctx, func() { s.applyStored(a.Envelope, a.Revision, "writer") })
 }
 
-func (s *Keeper) inForce() *configstate.Envelope { return s.published.Load().envelope }
+func (s *Syncer) inForce() *configstate.Envelope { return s.published.Load().envelope }
 
 func newID() string { return uuid.NewString() }
 
@@ -191,7 +191,7 @@
 	if doc.Environment != w.Environment {
 		return nil, &EnvironmentError{Want: w.Environment, Have: doc.Environment}
 	}
-	if err := placement.Fits(doc); err != nil {
+	if err := placement.CheckFits(doc); err != nil {
 		return nil, err
 	}
 	return doc, nil
@@ -212,7 +212,7 @@
 	if reflect.DeepEqual(current.Models, next.Models) && reflect.DeepEqual(current.Engines, next.Engines) {
 		return nil
 	}
-	return placement.FitsChange(current, next)
+	return placement.CheckChangeFits(current, next)
 }
 
 // Withdraw adds withdrawals to the accepted envelope, whatever its version. It
@@ -287,7 +287,7 @@
 		Key:      Key(w.Environment),
 		Expected: current.revision,
 		Value:    data,
-		Mine:     attemptVerdict(next),
+		Classify: attemptVerdict(next),
 		Resend:   true,
 		Sleep:    w.Sleep,
 	})
@@ -318,13 +318,13 @@
 		e, err := configstate.Decode(value)
 		switch {
 		case err != nil:
-			return kv.CannotTell
+			return kv.VerdictInconclusive
 		case e.Nonce == next.Nonce:
-			return kv.Shows
+			return kv.VerdictApplied
 		case e.Version <= next.Version:
-			return kv.ShowsNot
+			return kv.VerdictNotApplied
 		}
-		return kv.CannotTell
+		return kv.VerdictInconclusive
 	}
 }
 
--- a/internal/configsync/writer_test.go
+++ b/internal/configsync/writer_test.go
@@ -37,10 +37,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.NewMemory(nil)
 		apply(t, store, 0, documentText(1))
-		store.Change(func(f *kvtest.Faults) { f.LoseAnswers = 2 })
+		store.UpdateFaults(func(f *kvtest.Faults) { f.LoseAnswers = 2 })
 		accepted := apply(t, store, 1, documentText(2))
 		require.EqualValues(t, 2, accepted.Envelope.Version)
-		store.Change(func(f *kvtest.Faults) { f.LoseRequests = 3 })
+		store.UpdateFaults(func(f *kvtest.Faults) { f.LoseRequests = 3 })
 		accepted = apply(t, store, 2, documentText(3))
 		require.EqualValues(t, 3, accepted.Envelope.Version)
 	})
@@ -60,14 +60,14 @@
 		// The previous version is already in the history, so the delayed write is
 		// that of the change.
 		require.NoError(t, newWriter(store).archive(ctx, currentEnvelope(t, store)))
-		store.Change(func(f *kvtest.Faults) { f.HoldRequests = 1000 })
+		store.UpdateFaults(func(f *kvtest.Faults) { f.HoldRequests = 1000 })
 		_, err := newWriter(store).Apply(ctx, c, 2, documentText(3))
 		require.ErrorIs(t, err, ErrUnknown)
 		outcome, _, err := newWriter(store).Outcome(context.Background(), c, 2)
 		require.NoError(t, err)
 		require.Equal(t, kv.Unknown, outcome)
 
-		store.Change(func(f *kvtest.Faults) { f.HoldRequests = 0 })
+		store.UpdateFaults(func(f *kvtest.Faults) { f.HoldRequests = 0 })
 		store.Release(nil)
 		apply(t, store, 3, documentText(4))
 		apply(t, store, 4, documentText(5))
@@ -80,7 +80,7 @@
 		require.EqualValues(t, 3, repeated.Envelope.Version, "a repeated command must not apply its change twice")
 		outcome, _, err = newWriter(store).Outcome(context.Background(), Change{ID: "other", Nonce: "o"}, 2)
 		require.NoError(t, err)
-		require.Equal(t, kv.DidNot, outcome)
+		require.Equal(t, kv.NoEffect, outcome)
 	})
 }
 
@@ -119,7 +119,7 @@
 	require.NoError(t, err)
 	require.EqualValues(t, versions-HistorySlots+1, e.Version)
 	_, err = newWriter(store).Version(context.Background(), 1)
-	require.ErrorIs(t, err, ErrNotKept)
+	require.ErrorIs(t, err, ErrNotInHistory)
 }
 
 func TestApplyRefusesAnotherEnvironment(t *testing.T) {
--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return doc, placement.Fits(doc)
+	return doc, placement.CheckFits(doc)
 }
 
 func diffCommand(o *options) *cobra.Command {
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -38,14 +38,14 @@
 	require.NoError(t, os.WriteFile(e.keyFile, []byte("op\n"), 0o600))
 	ctx, cancel := context.WithCancel(context.Background())
 	for i := range vms {
-		keeper := configsync.NewKeeper(configsync.Options{Store: e.store, Environment: name, PollInterval: 20 * time.Millisecond})
-		tally := configsync.NewTally(keeper)
-		go keeper.Run(ctx)
+		syncer := configsync.NewSyncer(configsync.Options{Store: e.store, Environment: name, PollInterval: 20 * time.Millisecond})
+		tally := configsync.NewTally(syncer)
+		go syncer.Run(ctx)
 		e.tallies = append(e.tallies, tally)
 		e.servers = append(e.servers, httptest.NewServer(operator.NewHandler(operator.Options{
 			VM:            fmt.Sprint("vm-", i),
 			Operators:     operator.Operators{configstate.DigestKey("op"): "ana"},
-			Configuration: keeper,
+			Configuration: syncer,
 			Evidence:      tally,
 			ChangeTimeout: 200 * time.Millisecond,
 		})))
@@ -138,7 +138,7 @@
 	}
 	code, _, _ = e.run("config", "validate", "missing.yaml")
 	require.Equal(t, ExitError, code)
-	e.store.Change(func(f *kvtest.Faults) { f.Outage = true })
+	e.store.UpdateFaults(func(f *kvtest.Faults) { f.Outage = true })
 	code, _, _ = e.run("config", "apply", other, "--base", "1")
 	require.Equal(t, ExitUnreachable, code)
 }
@@ -161,7 +161,7 @@
 
 func TestUnresolvedOutcomeIsReportedAsUnknown(t *testing.T) {
 	e := newEnvironment(t, "trial", 2)
-	e.store.Change(func(f *kvtest.Faults) { f.HoldRequests = 1 << 30 })
+	e.store.UpdateFaults(func(f *kvtest.Faults) { f.HoldRequests = 1 << 30 })
 	code, _, errOut := e.run("--timeout", "1s", "config", "apply", e.file(documentTemplate, "trial", 1, "v1"), "--base", "0")
 	require.Equal(t, ExitUnknown, code)
 	require.Contains(t, errOut, "ask again with: chestnutctl config outcome")
@@ -173,14 +173,14 @@
 	e := newEnvironment(t, "trial", 3)
 	code, _, errOut := e.run("config", "apply", e.file(documentTemplate, "trial", 1, "v1"), "--base", "0")
 	require.Zero(t, code, errOut)
-	e.store.Change(func(f *kvtest.Faults) { f.Outage = true })
+	e.store.UpdateFaults(func(f *kvtest.Faults) { f.Outage = true })
 	code, out, errOut := e.run("key", "withdraw", "t", "k", "-o", "json")
 	require.Equal(t, ExitPartial, code)
 	require.Contains(t, errOut, "NOT DURABLE YET: 3 of 3 VMs refuse the key")
 	var w withdrawalReport
 	require.NoError(t, json.Unmarshal([]byte(out), &w))
 	require.False(t, w.Durable)
-	e.store.Change(func(f *kvtest.Faults) { f.Outage = false })
+	e.store.UpdateFaults(func(f *kvtest.Faults) { f.Outage = false })
 	code, _, errOut = e.run("key", "withdraw", "--digest", keyDigest)
 	require.Zero(t, code, errOut)
 	require.Contains(t, errOut, "refused at all 3 VMs")
@@ -206,7 +206,7 @@
 	require.Equal(t, ExitRefused, code)
 	require.Contains(t, errOut, "min_requests: want 10, have 0")
 	for i := range 10 {
-		trial.tallies[i%2].Request(i > 0, false)
+		trial.tallies[i%2].RecordRequest(i > 0, false)
 	}
 	code, _, errOut = production.run("config", "promote", "--from", trial.urls())
 	require.Zero(t, code, errOut)
@@ -238,8 +238,8 @@
 	require.NoError(t, err)
 	pool := x509.NewCertPool()
 	require.True(t, pool.AppendCertsFromPEM(authority))
-	keeper := configsync.NewKeeper(configsync.Options{Store: kvtest.NewMemory(nil), Environment: "x"})
-	server := httptest.NewUnstartedServer(operator.NewHandler(operator.Options{VM: "vm", Configuration: keeper}))
+	syncer := configsync.NewSyncer(configsync.Options{Store: kvtest.NewMemory(nil), Environment: "x"})
+	server := httptest.NewUnstartedServer(operator.NewHandler(operator.Options{VM: "vm", Configuration: syncer}))
 	server.TLS = &tls.Config{Certificates: []tls.Certificate{pair}, ClientCAs: pool, ClientAuth: tls.VerifyClientCertIfGiven}
 	server.StartTLS()
 	defer server.Close()
--- a/internal/ctl/promote.go
+++ b/internal/ctl/promote.go
@@ -86,7 +86,7 @@
 			return "", nil, err
 		}
 	}
-	combined, err := configstate.Combine(parts)
+	combined, err := configstate.CombineEvidence(parts)
 	if err != nil {
 		return "", nil, &operator.APIError{Type: operator.TypeRefused, Message: errors.Cause(err).Error()}
 	}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -52,7 +52,7 @@
 	waiting         map[uint64]*waiter
 	classes         map[string]*Request
 	averageRunTimes map[route.Item]time.Duration
-	parts           *route.Parts
+	parts           *route.LimitShares
 	// exhaustedLimits holds the limit of each item whose local share was found used
 	// up since the last refresh.
 	exhaustedLimits map[route.Item]int
@@ -111,7 +111,7 @@
 		waiting:         make(map[uint64]*waiter),
 		classes:         make(map[string]*Request),
 		averageRunTimes: make(map[route.Item]time.Duration),
-		parts:           route.NewParts(),
+		parts:           route.NewLimitShares(),
 		exhaustedLimits: make(map[route.Item]int),
 		lastBorrow:      make(map[route.Item]time.Time),
 		events:          make(chan any, eventBuffer),
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -95,7 +95,7 @@
 		_, err := d.Acquire(t.Context(), request("x", time.Minute))
 		require.NoError(t, err)
 		r := request("x", 5*time.Second)
-		r.Run = 2 * time.Second
+		r.MinRunTime = 2 * time.Second
 		began := time.Now()
 		_, err = d.Acquire(t.Context(), r)
 		require.ErrorIs(t, err, admit.ErrDeadline)
--- a/internal/dispatch/owner.go
+++ b/internal/dispatch/owner.go
@@ -23,7 +23,7 @@
 	case lend:
 		d.lend(m, now)
 	case borrowed:
-		d.parts.Took(m.item, m.n, m.requestedAt)
+		d.parts.RecordLoan(m.item, m.n, m.requestedAt)
 	}
 }
 
@@ -41,7 +41,7 @@
 	}
 	evicted, err := d.queue.Offer(admit.Request{
 		ID: id, Team: m.request.Team, Class: class, Tokens: m.request.Tokens,
-		Bytes: m.request.Bytes, Deadline: m.request.Deadline, Run: d.minRunTime(m.request),
+		Bytes: m.request.Bytes, Deadline: m.request.Deadline, MinRunTime: d.minRunTime(m.request),
 	}, now)
 	d.refuseEach(evicted)
 	if err != nil {
@@ -66,8 +66,8 @@
 
 // minRunTime returns the minimum run time that is assumed for a request.
 func (d *Dispatcher) minRunTime(r *Request) time.Duration {
-	if r.Run > 0 {
-		return r.Run
+	if r.MinRunTime > 0 {
+		return r.MinRunTime
 	}
 	return time.Duration(minRunTimeShare * float64(d.averageRunTimes[r.Item]))
 }
@@ -97,7 +97,7 @@
 func (d *Dispatcher) finish(m finish, now time.Time) {
 	r := m.grant.request
 	d.router.Finished(m.grant.Upstream.Name, r.Item, m.healthy, now)
-	d.queue.Served(r.Team, m.tokens-r.Tokens)
+	d.queue.CorrectCost(r.Team, m.tokens-r.Tokens)
 	if m.healthy && m.tokens > 0 {
 		d.recordRunTime(r.Item, now.Sub(m.grant.dispatchedAt))
 	}
@@ -158,7 +158,7 @@
 func (d *Dispatcher) canRun(class string, now time.Time) bool {
 	r := d.classes[class]
 	err := d.router.Available(r.query(d.localLimit(r, now)), now)
-	if errors.Is(err, route.ErrPartUsed) {
+	if errors.Is(err, route.ErrShareUsed) {
 		d.exhaustedLimits[r.Item] = r.MaxInFlight
 	}
 	return err == nil
@@ -169,7 +169,7 @@
 	if r.MaxInFlight <= 0 {
 		return 0
 	}
-	return d.parts.Part(r.Item, r.MaxInFlight, now)
+	return d.parts.Share(r.Item, r.MaxInFlight, now)
 }
 
 // dispatch assigns a request to an upstream. The request's key is checked at this
@@ -179,14 +179,14 @@
 	r := w.request
 	if r.Check != nil {
 		if err := r.Check(); err != nil {
-			d.queue.Served(r.Team, -r.Tokens)
+			d.queue.CorrectCost(r.Team, -r.Tokens)
 			d.refuse(w, err)
 			return
 		}
 	}
 	upstream, err := d.router.Pick(r.query(d.localLimit(r, now)), now, d.rng)
 	if err != nil {
-		d.queue.Served(r.Team, -r.Tokens)
+		d.queue.CorrectCost(r.Team, -r.Tokens)
 		d.refuse(w, errors.Wrap(ErrNoReplica, err.Error()))
 		return
 	}
@@ -230,7 +230,7 @@
 	d.peers = peers
 	d.parts.SetFleet(peers.VMs, peers.Rank)
 	own := max(1, d.stats.InFlight)
-	d.router.SetSpread(min(float64(peers.VMs), float64(own+peers.InFlight)/float64(own)))
+	d.router.SetFleetMultiplier(min(float64(peers.VMs), float64(own+peers.InFlight)/float64(own)))
 }
 
 // refuseUnserved refuses the requests that have been queued for replicaTimeout and
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -37,9 +37,9 @@
 	Bytes int64
 	// Deadline is the time by which the answer must be complete.
 	Deadline time.Time
-	// Run is the minimum run time of the request. With 0 it is estimated from
+	// MinRunTime is the minimum run time of the request. With 0 it is estimated from
 	// earlier requests for the item.
-	Run time.Duration
+	MinRunTime time.Duration
 	// Avoid names upstreams that have failed the request.
 	Avoid []string
 	// Check is called at dispatch, after any time in the queue. If it returns an
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -62,7 +62,7 @@
 // Client talks to model engines. It is safe for concurrent use.
 type Client struct {
 	rt          http.RoundTripper
-	hosts       *transport.Hosts
+	hosts       *transport.PerHostTransport
 	streams     *streams
 	idleLimit   time.Duration
 	resumeLimit time.Duration
@@ -80,7 +80,7 @@
 	if o.CallTimeout == 0 {
 		o.CallTimeout = DefaultCallTimeout
 	}
-	hosts := transport.NewHosts(o.Limits, o.Pool, o.TLS)
+	hosts := transport.NewPerHostTransport(o.Limits, o.Pool, o.TLS)
 	return &Client{
 		rt:          otelhttp.NewTransport(hosts),
 		hosts:       hosts,
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -173,8 +173,8 @@
 	return same && json.Valid(data)
 }
 
-// Last returns the ID of the last event that Next has returned.
-func (s *Stream) Last() int64 {
+// LastID returns the ID of the last event that Next has returned.
+func (s *Stream) LastID() int64 {
 	return s.lastID
 }
 
--- a/internal/engine/stream_test.go
+++ b/internal/engine/stream_test.go
@@ -112,7 +112,7 @@
 	ids, err := readAll(s)
 	require.ErrorIs(t, err, ErrBroken)
 	require.Equal(t, []int64{1}, ids)
-	require.Equal(t, int64(1), s.Last())
+	require.Equal(t, int64(1), s.LastID())
 }
 
 // Nothing listens at the address, so nothing was sent. Any other error would leave open
--- a/internal/entry/addresses.go
+++ b/internal/entry/addresses.go
@@ -69,7 +69,7 @@
 	}
 	for _, m := range view.Members {
 		if m.Status != membership.Gone {
-			all = append(all, a.candidate(m.Node, view.At, m.Status == membership.Heard))
+			all = append(all, a.candidate(m.Node, view.At, m.Status == membership.Alive))
 		}
 	}
 	return all
@@ -85,6 +85,6 @@
 		Leaving:       n.Leaving || a.leaving(document.Address(n.CallerURL)),
 		Capacity:      a.capacity,
 		InFlight:      n.InFlight,
-		HeardAt:       at,
+		LastHeartbeat: at,
 	}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -40,7 +40,7 @@
 	security       *process.Security
 	listeners      *listeners
 	store          *kv.HTTP
-	config         *configsync.Keeper
+	config         *configsync.Syncer
 	evidence       *configsync.Tally
 	fleet          *fleet.Fleet
 	peers          *peer.Pool
@@ -90,14 +90,14 @@
 		return err
 	}
 	p.store = store
-	p.config = configsync.NewKeeper(configsync.Options{
-		Store:       store,
-		Environment: p.settings.Environment,
-		HearsPeers:  func() bool { return p.fleet.HearsMajority(time.Now()) },
-		FleetSize:   func() int { return 1 + len(p.fleet.View().Members) },
-		Watches:     p.keepsWatch,
-		Log:         p.log,
-		Metrics:     p.metrics,
+	p.config = configsync.NewSyncer(configsync.Options{
+		Store:           store,
+		Environment:     p.settings.Environment,
+		HasPeerMajority: func() bool { return p.fleet.HasPartnerMajority(time.Now()) },
+		FleetSize:       func() int { return 1 + len(p.fleet.View().Members) },
+		Watches:         p.keepsWatch,
+		Log:             p.log,
+		Metrics:         p.metrics,
 	})
 	p.evidence = configsync.NewTally(p.config)
 	return nil
@@ -121,12 +121,12 @@
 			CallerURL:     p.settings.Advertise.Callers,
 			PeerAddress:   p.settings.Advertise.Peers,
 		},
-		Pool:   pool,
-		Log:    p.log,
-		Local:  p.localState,
-		Seeds:  func() []string { return p.settings.Peers },
-		Update: p.config.UpdateSince,
-		Offer:  p.applyPeerUpdate,
+		Pool:        pool,
+		Log:         p.log,
+		Local:       p.localState,
+		Seeds:       func() []string { return p.settings.Peers },
+		UpdateSince: p.config.UpdateSince,
+		ApplyUpdate: p.applyPeerUpdate,
 	})
 	server.RegisterMembership(p.fleet)
 	p.buildLimiter()
@@ -159,7 +159,7 @@
 	client := &http.Client{Transport: transport.New(transport.Limits{}, transport.Pool{}, nil)}
 	p.vmList = vmlist.NewPoller(&vmlist.Client{URL: p.settings.VMList.URL, HTTP: client}, p.settings.VMList.Interval, p.log)
 	p.plannerHTTP = &http.Client{
-		Transport: transport.New(transport.Limits{}, transport.Pool{}, process.ClientTLS(p.security.PeerFiles)),
+		Transport: transport.New(transport.Limits{}, transport.Pool{}, process.ClientTLS(p.security.PeerReloader)),
 		Timeout:   plannerTimeout,
 	}
 	p.demandReporter = planner.NewReporter(planner.ReporterOptions{
@@ -174,7 +174,7 @@
 	p.handler = caller.NewHandler(caller.Options{
 		Configuration:    p.config,
 		Limiter:          p.leases,
-		RecordCompletion: p.evidence.Request,
+		RecordCompletion: p.evidence.RecordRequest,
 		RecordDemand:     p.demandReporter.Add,
 		VM:               p.settings.VM,
 		Models:           p.traffic.models,
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -14,7 +14,7 @@
 // ErrNoPeer means that no heartbeats arrive from any other VM.
 var ErrNoPeer = errors.New("entry: cannot fetch the configuration: no other VM is alive")
 
-// applyPeerUpdate passes a peer's configuration update to the keeper. If its deltas
+// applyPeerUpdate passes a peer's configuration update to the syncer. If its deltas
 // leave a gap to the configuration in force here, it fetches a complete envelope from a
 // random VM instead.
 func (p *Process) applyPeerUpdate(update []byte) {
@@ -37,7 +37,7 @@
 func (p *Process) fetchFromPeer(ctx context.Context) ([]byte, error) {
 	var alive []membership.Member
 	for _, m := range p.fleet.View().Members {
-		if m.Status == membership.Heard {
+		if m.Status == membership.Alive {
 			alive = append(alive, m)
 		}
 	}
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -24,7 +24,7 @@
 func (p *Process) Status(context.Context) (*operator.Status, error) {
 	view := p.fleet.View()
 	status := &operator.Status{VM: p.settings.VM}
-	status.VMs = append(status.VMs, vmStatus(view.Self, stateOf(view.Self, membership.Heard)))
+	status.VMs = append(status.VMs, vmStatus(view.Self, stateOf(view.Self, membership.Alive)))
 	for _, m := range view.Members {
 		status.VMs = append(status.VMs, vmStatus(m.Node, stateOf(m.Node, m.Status)))
 	}
@@ -154,7 +154,7 @@
 	plan := &operator.Plan{Leader: s.Leader.VM, Fence: s.Fence, MadeAt: s.Time}
 	for _, e := range s.Engines {
 		line := operator.PlanEngine{Engine: e.Name, Memory: e.Capacity, Allowed: e.Allowed}
-		for _, h := range e.Holds {
+		for _, h := range e.HeldItems {
 			if h.Ready {
 				line.Resident = append(line.Resident, h.Item.String())
 			}
@@ -175,7 +175,7 @@
 	}
 	held := make(map[replica]struct{})
 	for _, e := range s.Engines {
-		for _, h := range e.Holds {
+		for _, h := range e.HeldItems {
 			held[replica{e.Name, h.Item}] = struct{}{}
 		}
 	}
@@ -196,10 +196,10 @@
 // memory account.
 func runningSteps(e planner.EngineStatus) []operator.PlanStep {
 	var steps []operator.PlanStep
-	for _, h := range e.Holds {
+	for _, h := range e.HeldItems {
 		step := operator.PlanStep{Engine: e.Name, Item: h.Item.String(), Version: h.Version, State: "running"}
 		switch {
-		case h.Leaving:
+		case h.Unloading:
 			step.Kind, step.Reason = "unload", "no longer wanted here"
 		case !h.Ready:
 			step.Kind, step.Reason = "load", "wanted here and not ready yet"
--- a/internal/entry/traffic.go
+++ b/internal/entry/traffic.go
@@ -34,7 +34,7 @@
 	models *dispatch.Dispatcher
 	pools  *dispatch.Dispatcher
 	relay  *relay.Relay
-	ring   *resume.Ring
+	ring   *resume.Keyring
 	claims *claims.Claims
 	// releaser notifies other VMs of streams that are read at this VM.
 	releaser relay.Releaser
@@ -50,7 +50,7 @@
 		m, _ := p.fleet.View().Lookup(vm)
 		return m.PeerAddress
 	}
-	asker := claims.PeerAsker{Pool: p.peers, Address: address}
+	asker := claims.PeerClient{Pool: p.peers, Address: address}
 	pools := &poolFleet{config: p.config.Snapshot, leaving: p.vmList.Leaving}
 	t := &traffic{
 		ring:  ring,
@@ -66,9 +66,9 @@
 		}),
 		claims: claims.New(claims.Options{
 			Store: p.store, Environment: p.settings.Environment, VM: p.settings.VM,
-			Asker: asker, Forwarder: asker, Preferred: p.preferredClaimWriter,
+			Querier: asker, Forwarder: asker, Preferred: p.preferredClaimWriter,
 		}),
-		releaser: relay.Releaser{Pool: p.peers, Address: address, For: relay.DefaultGrace},
+		releaser: relay.Releaser{Pool: p.peers, Address: address, RetryTimeout: relay.DefaultGrace},
 	}
 	t.models.Register(p.peerServer.Registrar())
 	t.claims.Register(p.peerServer.Registrar())
@@ -112,7 +112,7 @@
 // resumeRing creates the key ring that signs resume tokens. Without secrets in the
 // settings it generates one, and streams can be resumed only at this VM and not after a
 // restart.
-func (p *Process) resumeRing() (*resume.Ring, error) {
+func (p *Process) resumeRing() (*resume.Keyring, error) {
 	var secrets [][]byte
 	for _, s := range p.settings.ResumeSecrets {
 		secrets = append(secrets, []byte(s))
@@ -124,7 +124,7 @@
 		_, _ = rand.Read(secret)
 		secrets = append(secrets, secret)
 	}
-	return resume.NewRing(secrets...)
+	return resume.NewKeyring(secrets...)
 }
 
 // randomSeed returns a random seed for a dispatcher.
@@ -146,7 +146,7 @@
 func summarizePeers(v *membership.View) dispatch.Peers {
 	peers := dispatch.Peers{VMs: 1, Served: make(map[string]int64)}
 	for _, m := range v.Members {
-		if m.Status != membership.Heard {
+		if m.Status != membership.Alive {
 			continue
 		}
 		peers.VMs++
@@ -166,7 +166,7 @@
 	view := p.fleet.View()
 	vms := []string{view.Self.VM}
 	for _, m := range view.Members {
-		if m.Status == membership.Heard && !m.Leaving {
+		if m.Status == membership.Alive && !m.Leaving {
 			vms = append(vms, m.VM)
 		}
 	}
@@ -185,7 +185,7 @@
 		rank--
 	}
 	for _, m := range view.Members {
-		if m.Status != membership.Heard {
+		if m.Status != membership.Alive {
 			continue
 		}
 		if rank == 0 {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -72,13 +72,13 @@
 	// and the VM list. It is called in every period and must not block. It may be
 	// nil.
 	Seeds func() []string
-	// Update returns the configuration version in force and the update that leads
+	// UpdateSince returns the configuration version in force and the update that leads
 	// there from the version have of a peer. The update is empty if the peer is not
-	// behind. Update may be nil.
-	Update func(have int64) (version int64, update []byte)
-	// Offer receives the update that was fetched from a peer. It may be nil, in which
+	// behind. UpdateSince may be nil.
+	UpdateSince func(have int64) (version int64, update []byte)
+	// ApplyUpdate receives the update that was fetched from a peer. It may be nil, in which
 	// case no configuration is fetched.
-	Offer func(update []byte)
+	ApplyUpdate func(update []byte)
 }
 
 // Fleet runs the heartbeats of one VM. It implements peerpb.MembershipServer.
@@ -125,12 +125,12 @@
 	return f.view.Load()
 }
 
-// HearsMajority reports whether the view is no older than two periods and more than half
+// HasPartnerMajority reports whether the view is no older than two periods and more than half
 // of the heartbeat partners were alive within the suspicion time. A VM that can reach
 // neither them nor the key-value service cannot learn that a key was withdrawn. The age
 // of the view is checked because a process that was paused resumes with an old view,
 // which must not be relied on.
-func (f *Fleet) HearsMajority(now time.Time) bool {
+func (f *Fleet) HasPartnerMajority(now time.Time) bool {
 	v := f.View()
 	// The monotonic clock may stop while a VM is paused, and the wall clock may be set
 	// back, so the larger of the two ages is used.
@@ -245,7 +245,7 @@
 	if vm == "" {
 		have, vm = 0, view.VMWithMissedWithdrawals()
 	}
-	if vm == "" || f.options.Offer == nil || !f.fetching.CompareAndSwap(false, true) {
+	if vm == "" || f.options.ApplyUpdate == nil || !f.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	member, _ := view.Lookup(vm)
@@ -257,7 +257,7 @@
 			return nil
 		}
 		if len(response.GetEnvelope()) > 0 {
-			f.options.Offer(response.GetEnvelope())
+			f.options.ApplyUpdate(response.GetEnvelope())
 		}
 		return nil
 	})
@@ -291,9 +291,9 @@
 // FetchConfig returns the update to the configuration in force for a VM that is behind.
 // It implements peerpb.MembershipServer.
 func (f *Fleet) FetchConfig(_ context.Context, request *peerpb.FetchConfigRequest) (*peerpb.FetchConfigResponse, error) {
-	if f.options.Update == nil {
+	if f.options.UpdateSince == nil {
 		return &peerpb.FetchConfigResponse{}, nil
 	}
-	version, update := f.options.Update(request.GetHaveVersion())
+	version, update := f.options.UpdateSince(request.GetHaveVersion())
 	return &peerpb.FetchConfigResponse{Version: version, Envelope: update}, nil
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -45,13 +45,13 @@
 		Log:        zerolog.Nop(),
 		Local:      func() Local { return Local{Ready: true, ConfigVersion: v.version.Load()} },
 		Seeds:      func() []string { return []string{seed} },
-		Update: func(have int64) (int64, []byte) {
+		UpdateSince: func(have int64) (int64, []byte) {
 			if v.version.Load() <= have {
 				return v.version.Load(), nil
 			}
 			return v.version.Load(), []byte{byte(v.version.Load())}
 		},
-		Offer: func(envelope []byte) { v.version.Store(int64(envelope[0])) },
+		ApplyUpdate: func(envelope []byte) { v.version.Store(int64(envelope[0])) },
 	})
 	server.RegisterMembership(v.fleet)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -87,11 +87,11 @@
 	for _, v := range []*vm{a, b, c} {
 		require.Eventually(t, func() bool { return len(v.fleet.View().Healthy()) == 3 }, eventuallyTimeout, pollInterval)
 		require.Eventually(t, func() bool { return v.version.Load() == 7 }, eventuallyTimeout, pollInterval)
-		require.Eventually(t, func() bool { return v.fleet.HearsMajority(time.Now()) }, eventuallyTimeout, pollInterval)
+		require.Eventually(t, func() bool { return v.fleet.HasPartnerMajority(time.Now()) }, eventuallyTimeout, pollInterval)
 	}
 	b.stop()
 	require.Eventually(t, func() bool { return len(a.fleet.View().Healthy()) == 2 }, eventuallyTimeout, pollInterval)
-	require.False(t, a.fleet.HearsMajority(time.Now().Add(time.Minute)), "a view that is a minute old must not count as fresh")
+	require.False(t, a.fleet.HasPartnerMajority(time.Now().Add(time.Minute)), "a view that is a minute old must not count as fresh")
 }
 
 func TestPlainTextMustBeAllowed(t *testing.T) {
--- a/internal/kv/http.go
+++ b/internal/kv/http.go
@@ -135,7 +135,7 @@
 // do makes one call and decodes its answer. The timeout bounds the time without received
 // bytes, so a large value may take longer as long as it keeps arriving.
 func (h *HTTP) do(ctx context.Context, c call, request, answer any) error {
-	ctx, idle := transport.WithIdle(ctx, h.timeout, h.timeout)
+	ctx, idle := transport.WithIdleTimeout(ctx, h.timeout, h.timeout)
 	defer idle.Stop()
 	response, err := h.send(ctx, c, request)
 	if err != nil {
--- a/internal/kv/http_test.go
+++ b/internal/kv/http_test.go
@@ -38,7 +38,7 @@
 	require.Equal(t, kv.TookEffect, first.Outcome)
 	refused, err := s.CompareAndSwap(ctx, "/k", kv.RevisionAbsent, []byte("two"), kv.NoLease)
 	require.NoError(t, err)
-	require.Equal(t, kv.DidNot, refused.Outcome)
+	require.Equal(t, kv.NoEffect, refused.Outcome)
 	require.Equal(t, "one", string(refused.Current.Value))
 	require.Equal(t, first.Revision, refused.Current.Revision)
 	entry, err := s.Get(ctx, "/k")
@@ -114,7 +114,7 @@
 	require.NoError(t, err)
 	result, err := unreachable.CompareAndSwap(ctx, "/k", kv.RevisionAbsent, []byte("x"), kv.NoLease)
 	require.ErrorIs(t, err, kv.ErrUnavailable)
-	require.Equal(t, kv.DidNot, result.Outcome)
+	require.Equal(t, kv.NoEffect, result.Outcome)
 }
 
 // One of the service's addresses is unreachable. Calls must succeed at another one.
--- a/internal/kv/kvtest/memory.go
+++ b/internal/kv/kvtest/memory.go
@@ -103,8 +103,8 @@
 	m.observe = f
 }
 
-// Change modifies the injected faults under the store's lock.
-func (m *Memory) Change(edit func(*Faults)) {
+// UpdateFaults modifies the injected faults under the store's lock.
+func (m *Memory) UpdateFaults(edit func(*Faults)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	edit(&m.faults)
@@ -159,22 +159,22 @@
 	m.watchers = nil
 }
 
-// Image is a copy of a store's contents.
-type Image struct {
+// Snapshot is a copy of a store's contents.
+type Snapshot struct {
 	revision int64
 	records  map[string]record
 }
 
-// Image returns a copy of the contents, as a backup would hold it.
-func (m *Memory) Image() Image {
+// Snapshot returns a copy of the contents, as a backup would hold it.
+func (m *Memory) Snapshot() Snapshot {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return Image{revision: m.revision, records: maps.Clone(m.records)}
+	return Snapshot{revision: m.revision, records: maps.Clone(m.records)}
 }
 
-// SetBack replaces the contents by an earlier copy and closes every watch, as
+// Restore replaces the contents by an earlier copy and closes every watch, as
 // when the service is restored from a backup. The store's revision is reset too.
-func (m *Memory) SetBack(to Image) {
+func (m *Memory) Restore(to Snapshot) {
 	m.BreakWatches()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -214,10 +214,10 @@
 	defer m.mu.Unlock()
 	m.calls.Writes++
 	if len(value) > kv.MaxValueBytes {
-		return kv.Result{Outcome: kv.DidNot}, errors.Wrap(kv.ErrTooLarge, key)
+		return kv.Result{Outcome: kv.NoEffect}, errors.Wrap(kv.ErrTooLarge, key)
 	}
 	if err := m.ready(); err != nil {
-		return kv.Result{Outcome: kv.DidNot}, err
+		return kv.Result{Outcome: kv.NoEffect}, err
 	}
 	w := heldWrite{key: key, expected: expected, value: append([]byte{}, value...), lease: id}
 	switch {
@@ -239,7 +239,7 @@
 func (m *Memory) write(w heldWrite) kv.Result {
 	r, ok := m.records[w.key]
 	if r.entry.Revision != w.expected {
-		result := kv.Result{Outcome: kv.DidNot}
+		result := kv.Result{Outcome: kv.NoEffect}
 		if ok {
 			current := copyEntry(r.entry)
 			result.Current = &current
@@ -247,7 +247,7 @@
 		return result
 	}
 	if _, live := m.leases[w.lease]; w.lease != kv.NoLease && !live {
-		return kv.Result{Outcome: kv.DidNot}
+		return kv.Result{Outcome: kv.NoEffect}
 	}
 	m.revision++
 	entry := kv.Entry{Key: w.key, Value: w.value, Revision: m.revision}
--- a/internal/kv/ops.go
+++ b/internal/kv/ops.go
@@ -37,7 +37,7 @@
 // CompareAndSwap writes value if the key's revision is expected.
 func (h *HTTP) CompareAndSwap(ctx context.Context, key string, expected int64, value []byte, lease LeaseID) (Result, error) {
 	if len(value) > MaxValueBytes {
-		return Result{Outcome: DidNot}, errors.Wrapf(ErrTooLarge, "%s: %d bytes", key, len(value))
+		return Result{Outcome: NoEffect}, errors.Wrapf(ErrTooLarge, "%s: %d bytes", key, len(value))
 	}
 	request := txnRequest{
 		Compare: []compare{{Key: []byte(key), Target: "MOD", Result: "EQUAL", ModRevision: expected}},
@@ -59,11 +59,11 @@
 	var unsent *notSentError
 	var budget *BudgetError
 	if errors.As(err, &unsent) || errors.As(err, &budget) {
-		return Result{Outcome: DidNot}, err
+		return Result{Outcome: NoEffect}, err
 	}
 	var status *StatusError
 	if errors.As(err, &status) && definiteRefusal(status.Status) {
-		return Result{Outcome: DidNot}, err
+		return Result{Outcome: NoEffect}, err
 	}
 	return Result{Outcome: Unknown}, nil
 }
@@ -92,7 +92,7 @@
 	if answer.Header == nil {
 		return Result{Outcome: Unknown}
 	}
-	result := Result{Outcome: DidNot}
+	result := Result{Outcome: NoEffect}
 	for _, op := range answer.Responses {
 		if op.ResponseRange == nil || len(op.ResponseRange.KVs) == 0 {
 			continue
--- a/internal/kv/priority.go
+++ b/internal/kv/priority.go
@@ -36,7 +36,7 @@
 	switch o {
 	case TookEffect:
 		return "took effect"
-	case DidNot:
+	case NoEffect:
 		return "did not"
 	default:
 		return "unknown"
--- a/internal/kv/settle.go
+++ b/internal/kv/settle.go
@@ -12,13 +12,13 @@
 // shows that a write took effect.
 type Verdict int
 
-// Shows means that the value proves that the write took effect, ShowsNot that
-// it proves the opposite. CannotTell means that it proves neither, because the
+// VerdictApplied means that the value proves that the write took effect, VerdictNotApplied that
+// it proves the opposite. VerdictInconclusive means that it proves neither, because the
 // key has been overwritten since.
 const (
-	CannotTell Verdict = iota
-	Shows
-	ShowsNot
+	VerdictInconclusive Verdict = iota
+	VerdictApplied
+	VerdictNotApplied
 )
 
 // Attempt is one compare-and-swap, distinguishable from every other by the
@@ -32,8 +32,8 @@
 	Value []byte
 	// Lease is the lease that the value is attached to, or NoLease.
 	Lease LeaseID
-	// Mine classifies a value of the key that was written after Expected.
-	Mine func(value []byte) Verdict
+	// Classify classifies a value of the key that was written after Expected.
+	Classify func(value []byte) Verdict
 	// Resend allows the same bytes to be sent again while the outcome is
 	// unknown. At most one of these requests can take effect, because the first
 	// one that does changes the revision. If Resend is false, the outcome stays
@@ -71,7 +71,7 @@
 		return result, err
 	}
 	if a.faults.unknownIsFailure && result.Outcome == Unknown {
-		return Result{Outcome: DidNot}, nil
+		return Result{Outcome: NoEffect}, nil
 	}
 	if result.Outcome != Unknown {
 		return attributeConflict(a, result), nil
@@ -102,9 +102,9 @@
 	case err != nil && !absent:
 		return Result{}, false
 	case entry.Revision != a.Expected:
-		return Result{Outcome: DidNot, Current: &entry}, true
+		return Result{Outcome: NoEffect, Current: &entry}, true
 	case a.faults.unmovedIsFailure:
-		return Result{Outcome: DidNot}, true
+		return Result{Outcome: NoEffect}, true
 	case !a.Resend:
 		return Result{}, false
 	}
@@ -113,7 +113,7 @@
 		// This request may not have been sent, but the first may still arrive.
 		return Result{}, false
 	}
-	if result.Outcome == DidNot && result.Current == nil {
+	if result.Outcome == NoEffect && result.Current == nil {
 		return Result{Outcome: Unknown}, true
 	}
 	return result, true
@@ -123,13 +123,13 @@
 // attempt's own: after a lost answer, the conflicting value may be the one that
 // this attempt wrote.
 func attributeConflict(a Attempt, r Result) Result {
-	if r.Outcome != DidNot || r.Current == nil || a.faults.refusalIsFailure {
+	if r.Outcome != NoEffect || r.Current == nil || a.faults.refusalIsFailure {
 		return r
 	}
-	switch a.Mine(r.Current.Value) {
-	case Shows:
+	switch a.Classify(r.Current.Value) {
+	case VerdictApplied:
 		return Result{Outcome: TookEffect, Revision: r.Current.Revision}
-	case ShowsNot:
+	case VerdictNotApplied:
 		return r
 	default:
 		return Result{Outcome: Unknown, Current: r.Current}
--- a/internal/kv/settle_fuzz_test.go
+++ b/internal/kv/settle_fuzz_test.go
@@ -61,17 +61,17 @@
 			entry, _ := store.Get(ctx, "/k")
 			_, _ = store.CompareAndSwap(ctx, "/k", entry.Revision, append(entry.Value, nextMark()...), kv.NoLease)
 		case 2:
-			store.Change(func(f *kvtest.Faults) { f.Outage = !f.Outage })
+			store.UpdateFaults(func(f *kvtest.Faults) { f.Outage = !f.Outage })
 		}
 	}
 	outcomes := make(map[string]kv.Outcome)
 	for range rapid.IntRange(1, 12).Draw(t, "attempts") {
 		entry, err := store.Get(ctx, "/k")
 		if err != nil && !errors.Is(err, kv.ErrNotFound) {
-			store.Change(func(f *kvtest.Faults) { f.Outage = false })
+			store.UpdateFaults(func(f *kvtest.Faults) { f.Outage = false })
 			continue
 		}
-		store.Change(func(f *kvtest.Faults) {
+		store.UpdateFaults(func(f *kvtest.Faults) {
 			f.LoseAnswers = rapid.IntRange(0, 2).Draw(t, "lose answers")
 			f.LoseRequests = rapid.IntRange(0, 2).Draw(t, "lose requests")
 			f.HoldRequests = rapid.IntRange(0, 2).Draw(t, "hold requests")
@@ -82,22 +82,22 @@
 			Key: "/k", Expected: entry.Revision, Value: append(entry.Value, mark...),
 			Resend: rapid.Bool().Draw(t, "resend"),
 			Sleep:  func(context.Context, time.Duration) bool { reads--; return reads >= 0 },
-			Mine: func(value []byte) kv.Verdict {
+			Classify: func(value []byte) kv.Verdict {
 				if bytes.Contains(value, mark) {
-					return kv.Shows
+					return kv.VerdictApplied
 				}
-				return kv.ShowsNot
+				return kv.VerdictNotApplied
 			},
 		}
 		result, _ := kv.Settle(ctx, interferingStore{store, interfere}, attempt.WithFaults(faults))
 		outcomes[string(mark)] = result.Outcome
 	}
-	store.Change(func(f *kvtest.Faults) { *f = kvtest.Faults{} })
+	store.UpdateFaults(func(f *kvtest.Faults) { *f = kvtest.Faults{} })
 	store.Release(nil)
 	final, _ := store.Get(ctx, "/k")
 	for mark, outcome := range outcomes {
 		times := bytes.Count(final.Value, []byte(mark))
-		if times > 1 || outcome == kv.TookEffect && times != 1 || outcome == kv.DidNot && times != 0 {
+		if times > 1 || outcome == kv.TookEffect && times != 1 || outcome == kv.NoEffect && times != 0 {
 			return errors.Errorf("mark %s: Settle returned %q, but the final value holds the mark %d times: %s", mark, outcome, times, final.Value)
 		}
 	}
--- a/internal/kv/store.go
+++ b/internal/kv/store.go
@@ -37,16 +37,16 @@
 const (
 	Unknown Outcome = iota
 	TookEffect
-	DidNot
+	NoEffect
 )
 
 // Result is the result of a compare-and-swap.
 type Result struct {
-	// Outcome is Unknown, TookEffect or DidNot.
+	// Outcome is Unknown, TookEffect or NoEffect.
 	Outcome Outcome
 	// Revision is the key's new revision if the outcome is TookEffect.
 	Revision int64
-	// Current is the conflicting entry if the outcome is DidNot and the entry is
+	// Current is the conflicting entry if the outcome is NoEffect and the entry is
 	// known. With Unknown it may hold the entry that proves neither outcome.
 	Current *Entry
 }
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -65,7 +65,7 @@
 // The statuses of a VM. A VM whose reports arrive is alive, which String returns as
 // "heard". When reports stop, it becomes suspected and then gone.
 const (
-	Heard Status = iota
+	Alive Status = iota
 	Suspected
 	Gone
 )
@@ -73,7 +73,7 @@
 // String returns the lower-case name of the status.
 func (s Status) String() string {
 	switch s {
-	case Heard:
+	case Alive:
 		return "heard"
 	case Suspected:
 		return "suspected"
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -271,11 +271,11 @@
 		if sinceReport > s.cfg.IndirectAfter {
 			return Gone
 		}
-		return Heard
+		return Alive
 	}
 	switch {
 	case sinceReport <= s.cfg.SuspectAfter:
-		return Heard
+		return Alive
 	case sinceReport <= s.cfg.GoneAfter:
 		return Suspected
 	default:
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -26,7 +26,7 @@
 		nodes = append(nodes, v.Self)
 	}
 	for _, m := range v.Members {
-		if m.Status == Heard && m.Ready && !m.Leaving {
+		if m.Status == Alive && m.Ready && !m.Leaving {
 			nodes = append(nodes, m.Node)
 		}
 	}
--- a/internal/operator/handler.go
+++ b/internal/operator/handler.go
@@ -15,7 +15,7 @@
 	"github.com/chestnutarch/chestnutarch/internal/strictyaml"
 )
 
-// Configuration is this VM's configuration. *configsync.Keeper implements it.
+// Configuration is this VM's configuration. *configsync.Syncer implements it.
 type Configuration interface {
 	Snapshot() *configstate.Snapshot
 	Envelope() (version int64, envelope []byte)
@@ -195,7 +195,7 @@
 			e.Mistakes = append(e.Mistakes, mistake.Error())
 		}
 		return e
-	case errors.Is(err, configsync.ErrNotKept), errors.Is(err, configsync.ErrNothingAccepted):
+	case errors.Is(err, configsync.ErrNotInHistory), errors.Is(err, configsync.ErrNothingAccepted):
 		return &APIError{Type: TypeNotFound, Message: err.Error()}
 	case errors.Is(err, kv.ErrUnavailable), errors.Is(err, context.DeadlineExceeded),
 		errors.Is(err, context.Canceled), errors.Is(err, configsync.ErrStopped):
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -28,13 +28,13 @@
 // with a valid key.
 func startVM(t *testing.T, store kv.Store) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
-	keeper := configsync.NewKeeper(configsync.Options{Store: store, Environment: "test", PollInterval: 20 * time.Millisecond})
+	syncer := configsync.NewSyncer(configsync.Options{Store: store, Environment: "test", PollInterval: 20 * time.Millisecond})
 	runResult := make(chan error, 1)
-	go func() { runResult <- keeper.Run(ctx) }()
+	go func() { runResult <- syncer.Run(ctx) }()
 	server := httptest.NewServer(NewHandler(Options{
 		VM:            "vm-1",
 		Operators:     Operators{configstate.DigestKey("op"): "ana"},
-		Configuration: keeper,
+		Configuration: syncer,
 		ChangeTimeout: 300 * time.Millisecond,
 	}))
 	t.Cleanup(func() {
@@ -127,7 +127,7 @@
 	_, err := c.Apply(ctx, applyRequest(0, documentText(1, "leaked")))
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { in, err := c.InForce(ctx); return err == nil && in.Version == 1 }, 10*time.Second, time.Millisecond)
-	store.Change(func(f *kvtest.Faults) { f.Outage = true })
+	store.UpdateFaults(func(f *kvtest.Faults) { f.Outage = true })
 	_, err = c.Apply(ctx, applyRequest(1, documentText(2)))
 	require.ErrorIs(t, err, ErrUnavailable)
 	answer, err := c.Withdraw(ctx, &WithdrawRequest{ChangeID: "w", Digests: []string{configstate.DigestKey("leaked")}})
@@ -140,7 +140,7 @@
 	config, err := c.Config(ctx)
 	require.NoError(t, err)
 	require.Equal(t, "vm-1", config.FromVM)
-	store.Change(func(f *kvtest.Faults) { f.Outage = false })
+	store.UpdateFaults(func(f *kvtest.Faults) { f.Outage = false })
 	require.Eventually(t, func() bool { in, err := c.InForce(ctx); return err == nil && in.Pending == 0 }, 10*time.Second, time.Millisecond)
 }
 
@@ -150,10 +150,10 @@
 	ctx := context.Background()
 	store := kvtest.NewMemory(nil)
 	c := startVM(t, store)
-	store.Change(func(f *kvtest.Faults) { f.HoldRequests = 1000 })
+	store.UpdateFaults(func(f *kvtest.Faults) { f.HoldRequests = 1000 })
 	_, err := c.Apply(ctx, applyRequest(0, documentText(1)))
 	require.ErrorIs(t, err, ErrUnknown)
-	store.Change(func(f *kvtest.Faults) { f.HoldRequests = 0 })
+	store.UpdateFaults(func(f *kvtest.Faults) { f.HoldRequests = 0 })
 	found, err := c.Change(ctx, applyRequest(0, "").ChangeRequest)
 	require.NoError(t, err)
 	require.Equal(t, OutcomeUnknown, found.Outcome)
--- a/internal/order/action.go
+++ b/internal/order/action.go
@@ -14,7 +14,7 @@
 	Key string
 }
 
-// Write requests a compare-and-swap. Its result must be passed to Written.
+// Write requests a compare-and-swap. Its result must be passed to WriteDone.
 type Write struct {
 	Key      string
 	Expected int64
@@ -71,7 +71,7 @@
 const (
 	OutcomeUnknown WriteOutcome = iota
 	TookEffect
-	DidNot
+	NoEffect
 )
 
 // Stored is a key's value and revision as read. A key that does not exist has revision 0.
--- a/internal/order/bench_test.go
+++ b/internal/order/bench_test.go
@@ -8,11 +8,11 @@
 	"github.com/chestnutarch/chestnutarch/internal/placement"
 )
 
-// newIdleBook returns the reconciler of a leader in control of engines that hold exactly
+// newIdleReconciler returns the reconciler of a leader in control of engines that hold exactly
 // the wanted copies, and the time.
-func newIdleBook(engines int) (*Book, time.Time) {
+func newIdleReconciler(engines int) (*Reconciler, time.Time) {
 	now := time.Unix(1_000_000, 0)
-	b := NewBook(Options{Prefix: "/p/", Fence: 1})
+	b := NewReconciler(Options{Prefix: "/p/", Fence: 1})
 	goal := Goal{Versions: make(map[placement.Name]string), Memory: make(map[placement.Item]int64)}
 	for i := range engines {
 		name := fmt.Sprintf("e%d", i)
@@ -33,7 +33,7 @@
 				b.ReadDone(a.Key, Stored{}, true)
 			case Write:
 				revision++
-				b.Written(a.Key, TookEffect, revision, nil)
+				b.WriteDone(a.Key, TookEffect, revision, nil)
 			case Poll:
 				b.Reported(a, reportOf(goal, a.Engine), true, now)
 			}
@@ -58,15 +58,15 @@
 func BenchmarkNext(b *testing.B) {
 	for _, engines := range []int{20, 275, 1100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			book, now := newIdleBook(engines)
-			if !book.InControl() {
+			reconciler, now := newIdleReconciler(engines)
+			if !reconciler.InControl() {
 				b.Fatal("the new leader did not take control of all accounts")
 			}
-			for _, state := range book.engines {
+			for _, state := range reconciler.engines {
 				state.polling = true
 			}
 			for b.Loop() {
-				book.Next(now)
+				reconciler.Next(now)
 			}
 		})
 	}
@@ -76,9 +76,9 @@
 func BenchmarkView(b *testing.B) {
 	for _, engines := range []int{20, 275, 1100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			book, now := newIdleBook(engines)
+			reconciler, now := newIdleReconciler(engines)
 			for b.Loop() {
-				book.View(now)
+				reconciler.View(now)
 			}
 		})
 	}
--- a/internal/order/budget.go
+++ b/internal/order/budget.go
@@ -32,7 +32,7 @@
 // load order that was never answered may start at any time, so it counts as a start
 // until a whole window after its first answer. Thus no window of the weight store's
 // clock contains more starts than the limit, however long messages are delayed.
-func (b *Book) budget(now time.Time) budget {
+func (b *Reconciler) budget(now time.Time) budget {
 	window, limit := b.startWindow()
 	if now.Sub(b.inControlSince) < window {
 		// The last starts of the previous leader are unknown until a whole window
@@ -68,7 +68,7 @@
 }
 
 // startWindow returns a time window and the number of loads that may start within it.
-func (b *Book) startWindow() (time.Duration, int) {
+func (b *Reconciler) startWindow() (time.Duration, int) {
 	rate := b.options.LoadsPerSecond
 	if rate <= 0 {
 		rate = defaultLoadsPerSecond
@@ -80,7 +80,7 @@
 }
 
 // chargeLoad deducts the entry's load order from the budget, if it has one.
-func (b *Book) chargeLoad(out *budget, e Entry) {
+func (b *Reconciler) chargeLoad(out *budget, e Entry) {
 	if e.Load == "" {
 		return
 	}
@@ -94,7 +94,7 @@
 }
 
 // chargePending deducts the load orders of a write whose outcome is not known.
-func (b *Book) chargePending(out *budget, state *engineState) {
+func (b *Reconciler) chargePending(out *budget, state *engineState) {
 	for _, e := range state.proposed.Entries {
 		if at := state.draft.Find(e.Item); at < 0 || state.draft.Entries[at].Load != e.Load {
 			b.chargeLoad(out, e)
@@ -106,7 +106,7 @@
 // LoadTimeout, so that no load can still run there. If its loads were counted for ever,
 // the loss of a failure domain would block all loads, including those that replace its
 // copies.
-func (b *Book) loadsTimedOut(state *engineState, now time.Time) bool {
+func (b *Reconciler) loadsTimedOut(state *engineState, now time.Time) bool {
 	if state.spec != nil && b.hasFreshReport(state, now) {
 		return false
 	}
@@ -119,7 +119,7 @@
 
 // isOutstanding reports whether an account has a load order with this ID and without a
 // definite answer.
-func (b *Book) isOutstanding(id string) bool {
+func (b *Reconciler) isOutstanding(id string) bool {
 	for _, state := range b.engines {
 		for _, e := range state.account.Entries {
 			if e.Load == id {
@@ -131,6 +131,6 @@
 }
 
 // isOwnOrder reports whether this leader issued the order.
-func (b *Book) isOwnOrder(id string) bool {
+func (b *Reconciler) isOwnOrder(id string) bool {
 	return strings.HasPrefix(id, strconv.FormatInt(b.options.Fence, 10)+"-")
 }
--- a/internal/order/decide.go
+++ b/internal/order/decide.go
@@ -9,7 +9,7 @@
 
 // decideLoads records as many wanted loads as the engines' memory and the weight
 // store's limits allow, most urgent first.
-func (b *Book) decideLoads(now time.Time) {
+func (b *Reconciler) decideLoads(now time.Time) {
 	budget := b.budget(now)
 	for _, a := range b.goal.Assignments {
 		if !budget.allows() {
@@ -36,14 +36,14 @@
 }
 
 // mayChange reports whether a new order may be recorded in an engine's account now.
-func (b *Book) mayChange(state *engineState, now time.Time) bool {
+func (b *Reconciler) mayChange(state *engineState, now time.Time) bool {
 	return state.owned && state.idle() && b.hasCurrentReport(state, now) && !state.report.Draining &&
 		state.draft.Incarnation == state.report.Incarnation
 }
 
 // decideUnloads records unload orders for unwanted copies, as far as every name keeps the
 // ready copies that it needs, and for copies that are missing from reports.
-func (b *Book) decideUnloads(now time.Time) {
+func (b *Reconciler) decideUnloads(now time.Time) {
 	for _, name := range b.engineNames {
 		state := b.engines[name]
 		if !b.mayChange(state, now) || !state.spec.Planned {
@@ -70,7 +70,7 @@
 	}
 }
 
-func (b *Book) recordUnload(state *engineState, item placement.Item) {
+func (b *Reconciler) recordUnload(state *engineState, item placement.Item) {
 	if b.faults.freeUnsettled {
 		if at := state.draft.Find(item); state.draft.Entries[at].Load != "" {
 			state.draft = state.draft.Settle(state.draft.Entries[at].Load, Done)
@@ -91,7 +91,7 @@
 // missingFromReports reports whether an engine has stopped reporting an item that it was
 // ordered to load. The entry cannot simply be deleted, since a report may be older than
 // the load; only an answered unload makes certain that the item is gone.
-func (b *Book) missingFromReports(state *engineState, e Entry, now time.Time) bool {
+func (b *Reconciler) missingFromReports(state *engineState, e Entry, now time.Time) bool {
 	reported := slices.ContainsFunc(state.report.Resident, func(r ReportItem) bool { return r.Item == e.Item })
 	if reported || !e.Settled() {
 		delete(state.missingItems, e.Item)
@@ -111,7 +111,7 @@
 
 // mayUnload reports whether a copy can be unloaded. Copies for which this step has
 // already recorded an unload are not counted as ready, since the drafts contain the order.
-func (b *Book) mayUnload(state *engineState, item placement.Item, now time.Time) bool {
+func (b *Reconciler) mayUnload(state *engineState, item placement.Item, now time.Time) bool {
 	if b.faults.unloadBeforeReady {
 		return true
 	}
@@ -137,11 +137,11 @@
 // place for a second copy and Quiet is true. Until then the plan is not reliable: when a
 // base model is replaced, its adapters are at first wanted beside the new version in one
 // domain only.
-func (b *Book) requiredDomains(item, current placement.Item, now time.Time) int {
+func (b *Reconciler) requiredDomains(item, current placement.Item, now time.Time) int {
 	if _, reduced := b.reduced[item.Name()]; reduced {
 		return 1
 	}
-	if len(b.planned[current]) == 1 && b.Quiet(now) {
+	if len(b.planned[current]) == 1 && b.Stable(now) {
 		return 1
 	}
 	return max(1, min(2, b.heldDomains(item.Name(), now)))
@@ -150,7 +150,7 @@
 // heldDomains counts the failure domains that hold a name, ready or not, on engines that
 // are present or uncertain. Readiness is not required because reports lag: a copy that is
 // not reported ready may be the second one, and a copy that is reported may be gone.
-func (b *Book) heldDomains(name placement.Name, now time.Time) int {
+func (b *Reconciler) heldDomains(name placement.Name, now time.Time) int {
 	domains := make(map[string]struct{})
 	for _, engine := range b.engineNames {
 		state := b.engines[engine]
@@ -175,7 +175,7 @@
 
 // hasDependentAdapters reports whether adapters on the engine need this base model: no
 // other version of it serves there.
-func (b *Book) hasDependentAdapters(state *engineState, base placement.Item, now time.Time) bool {
+func (b *Reconciler) hasDependentAdapters(state *engineState, base placement.Item, now time.Time) bool {
 	dependent := false
 	for _, e := range state.draft.Entries {
 		if e.Item.Model != base.Model || e.Item == base {
@@ -192,7 +192,7 @@
 // readyDomains counts the failure domains with a ready copy of an item, or of any
 // version of its name if the item's version is empty. The copy given by except is not
 // counted.
-func (b *Book) readyDomains(item placement.Item, except engineItem, now time.Time) int {
+func (b *Reconciler) readyDomains(item placement.Item, except engineItem, now time.Time) int {
 	domains := make(map[string]struct{})
 	for _, name := range b.engineNames {
 		state := b.engines[name]
@@ -211,7 +211,7 @@
 
 // serves reports whether an item's copy on an engine is reliably ready: it is reported
 // ready, no order can unload it, and its base model serves too.
-func (b *Book) serves(state *engineState, item placement.Item, now time.Time) bool {
+func (b *Reconciler) serves(state *engineState, item placement.Item, now time.Time) bool {
 	if !b.hasCurrentReport(state, now) || state.report.Draining || !b.settledAndReady(state, item) {
 		return false
 	}
@@ -219,7 +219,7 @@
 }
 
 // baseServes reports whether any version of a base model serves on the engine.
-func (b *Book) baseServes(state *engineState, model string, now time.Time) bool {
+func (b *Reconciler) baseServes(state *engineState, model string, now time.Time) bool {
 	for _, e := range state.draft.Entries {
 		if e.Item.Model == model && e.Item.IsBase() && b.hasCurrentReport(state, now) && b.settledAndReady(state, e.Item) {
 			return true
@@ -230,7 +230,7 @@
 
 // settledAndReady reports whether an item is settled in the draft and in the pending
 // write, if there is one, and is reported ready.
-func (b *Book) settledAndReady(state *engineState, item placement.Item) bool {
+func (b *Reconciler) settledAndReady(state *engineState, item placement.Item) bool {
 	at := state.draft.Find(item)
 	if at < 0 || !state.draft.Entries[at].Settled() {
 		return false
--- a/internal/order/fuzz_test.go
+++ b/internal/order/fuzz_test.go
@@ -250,7 +250,7 @@
 // messages.
 func (sim *simulation) describe() string {
 	var out strings.Builder
-	last := sim.leaders[len(sim.leaders)-1].book
+	last := sim.leaders[len(sim.leaders)-1].reconciler
 	fmt.Fprintf(&out, "%d loads, in control %v, surveyed %v, deposed %v", sim.loads, last.InControl(), last.Surveyed(sim.now), last.Deposed())
 	for _, a := range last.goal.Assignments {
 		if a.Reason != placement.ReasonStays {
--- a/internal/order/next.go
+++ b/internal/order/next.go
@@ -9,7 +9,7 @@
 
 // Next returns the actions to execute now. It must be called after every event, and
 // periodically without one.
-func (b *Book) Next(now time.Time) []Action {
+func (b *Reconciler) Next(now time.Time) []Action {
 	if b.deposed {
 		return nil
 	}
@@ -35,7 +35,7 @@
 // stepIndex makes the index list every engine and carry this leader's fencing number. An
 // account may be created only for an engine in the index, so a leader that has written
 // its fencing number to the index has the complete list of possible accounts.
-func (b *Book) stepIndex(actions []Action) []Action {
+func (b *Reconciler) stepIndex(actions []Action) []Action {
 	if a, ok := b.index.next(); ok {
 		return append(actions, a)
 	}
@@ -58,7 +58,7 @@
 
 // stepRegisters reads every account in the index and writes this leader's fencing number
 // to it.
-func (b *Book) stepRegisters(actions []Action) []Action {
+func (b *Reconciler) stepRegisters(actions []Action) []Action {
 	for _, name := range b.engineNames {
 		state := b.engines[name]
 		if !state.listed {
@@ -81,7 +81,7 @@
 }
 
 // stepPolls polls every engine in the document whose next poll is due.
-func (b *Book) stepPolls(actions []Action, now time.Time) []Action {
+func (b *Reconciler) stepPolls(actions []Action, now time.Time) []Action {
 	for _, name := range b.engineNames {
 		state := b.engines[name]
 		if state.spec == nil || state.polling || now.Before(state.nextPoll) {
@@ -96,7 +96,7 @@
 // updateControl checks whether every account carries this leader's fencing number. Until
 // then, an older leader could still record an order that this one does not see: two
 // leaders could each unload the copy that the other relies on.
-func (b *Book) updateControl(now time.Time) {
+func (b *Reconciler) updateControl(now time.Time) {
 	owned := len(b.engineNames) > 0
 	for _, name := range b.engineNames {
 		owned = owned && (b.engines[name].owned || b.faults.skipTakeover)
@@ -109,7 +109,7 @@
 
 // draftAccounts starts every engine's next account from its last known one, and applies
 // a new incarnation and the definite answers.
-func (b *Book) draftAccounts(now time.Time) {
+func (b *Reconciler) draftAccounts(now time.Time) {
 	for _, name := range b.engineNames {
 		state := b.engines[name]
 		state.draft = state.account
@@ -134,7 +134,7 @@
 
 // delayRetry delays the next order for an item whose order failed or was refused. An
 // engine that cannot execute it now would otherwise receive one in every step.
-func (b *Book) delayRetry(state *engineState, id string, now time.Time) {
+func (b *Reconciler) delayRetry(state *engineState, id string, now time.Time) {
 	if state.answers[id] != Failed && state.answers[id] != Refused {
 		return
 	}
@@ -148,7 +148,7 @@
 // newIncarnation reports whether the engine is in a later incarnation than the account.
 // A report is used only if its poll began after the account was read: an older one may
 // contain an incarnation before the account's.
-func (b *Book) newIncarnation(state *engineState) bool {
+func (b *Reconciler) newIncarnation(state *engineState) bool {
 	if state.report == nil || state.report.Incarnation == state.account.Incarnation {
 		return false
 	}
@@ -158,7 +158,7 @@
 // residentEntries returns entries for the items that a new incarnation holds after its
 // start. Memory that is reported but not accounted for by the document's items is
 // attributed to the first item that is not in the document, so that the sum is right.
-func (b *Book) residentEntries(state *engineState) []Entry {
+func (b *Reconciler) residentEntries(state *engineState) []Entry {
 	var entries []Entry
 	var unknown []int
 	unassigned := state.report.MemoryUsed
@@ -177,7 +177,7 @@
 }
 
 // writeDrafts writes the changed drafts.
-func (b *Book) writeDrafts(actions []Action) []Action {
+func (b *Reconciler) writeDrafts(actions []Action) []Action {
 	for _, name := range b.engineNames {
 		state := b.engines[name]
 		if !state.changed || !state.idle() {
@@ -193,7 +193,7 @@
 
 // stepSends sends every recorded order that has no definite answer. Only orders that are
 // known to be stored in the key-value service are sent.
-func (b *Book) stepSends(actions []Action, now time.Time) []Action {
+func (b *Reconciler) stepSends(actions []Action, now time.Time) []Action {
 	for _, name := range b.engineNames {
 		state := b.engines[name]
 		if !state.owned || !b.hasCurrentReport(state, now) {
@@ -211,7 +211,7 @@
 }
 
 // stepSend sends the orders of one entry that are due and not in flight.
-func (b *Book) stepSend(actions []Action, state *engineState, e Entry, now time.Time) []Action {
+func (b *Reconciler) stepSend(actions []Action, state *engineState, e Entry, now time.Time) []Action {
 	for _, o := range []Order{{ID: e.Load, Kind: Load}, {ID: e.Unload, Kind: Unload}} {
 		if o.ID == "" {
 			continue
@@ -236,18 +236,18 @@
 
 // hasCurrentReport reports whether the engine has a fresh report from the account's
 // incarnation.
-func (b *Book) hasCurrentReport(state *engineState, now time.Time) bool {
+func (b *Reconciler) hasCurrentReport(state *engineState, now time.Time) bool {
 	return b.hasFreshReport(state, now) && state.report.Incarnation == state.account.Incarnation
 }
 
 // hasFreshReport reports whether the engine is in the document and the poll of its last
 // report began at most ReportFresh ago.
-func (b *Book) hasFreshReport(state *engineState, now time.Time) bool {
+func (b *Reconciler) hasFreshReport(state *engineState, now time.Time) bool {
 	return state.spec != nil && state.report != nil && now.Sub(state.reportBegan) <= b.options.ReportFresh
 }
 
 // updateRemoved records since when each held name has been missing from the document.
-func (b *Book) updateRemoved(now time.Time) {
+func (b *Reconciler) updateRemoved(now time.Time) {
 	for name := range b.removedSince {
 		if _, named := b.goal.Versions[name]; named {
 			delete(b.removedSince, name)
@@ -275,14 +275,14 @@
 
 // present reports whether an engine counts as available for placement. AbsentAfter is
 // meant to be longer than ReportFresh, so that a few lost reports cause no moves.
-func (b *Book) present(state *engineState, now time.Time) bool {
+func (b *Reconciler) present(state *engineState, now time.Time) bool {
 	return state.report != nil && now.Sub(state.reportBegan) <= b.options.AbsentAfter &&
 		state.report.Incarnation == state.account.Incarnation && !state.report.Draining
 }
 
 // uncertain reports whether an engine that is not present may be so again soon: its
 // reports are missing, or it has restarted and its account is not rewritten yet.
-func (b *Book) uncertain(state *engineState, now time.Time) bool {
+func (b *Reconciler) uncertain(state *engineState, now time.Time) bool {
 	if b.present(state, now) || (state.report != nil && state.report.Draining) {
 		return false
 	}
@@ -295,7 +295,7 @@
 
 // updateQuiet resets quietSince if an engine is not present, an account is being changed
 // or a copy does not serve.
-func (b *Book) updateQuiet(now time.Time) {
+func (b *Reconciler) updateQuiet(now time.Time) {
 	for _, name := range b.engineNames {
 		state := b.engines[name]
 		if state.spec == nil {
@@ -312,9 +312,9 @@
 	}
 }
 
-// Quiet reports whether nothing has changed for longer than ReduceAfter: a copy that has
+// Stable reports whether nothing has changed for longer than ReduceAfter: a copy that has
 // no place now will not get one by waiting.
-func (b *Book) Quiet(now time.Time) bool {
+func (b *Reconciler) Stable(now time.Time) bool {
 	since := b.quietSince
 	if since.Before(b.inControlSince) {
 		since = b.inControlSince
@@ -325,7 +325,7 @@
 // Surveyed reports whether every engine in the document has a current report, or
 // AbsentAfter has passed since this leader took control. An earlier plan would treat the
 // engines that have not answered yet as lost, and load further copies of what they hold.
-func (b *Book) Surveyed(now time.Time) bool {
+func (b *Reconciler) Surveyed(now time.Time) bool {
 	if !b.InControl() {
 		return false
 	}
@@ -341,7 +341,7 @@
 }
 
 // View returns the placement's input for the engines in the document.
-func (b *Book) View(now time.Time) []placement.Engine {
+func (b *Reconciler) View(now time.Time) []placement.Engine {
 	var engines []placement.Engine
 	for _, spec := range b.goal.Engines {
 		state := b.engines[spec.Name]
@@ -353,11 +353,11 @@
 			Uncertain:     b.uncertain(state, now),
 		}
 		for _, entry := range state.account.Entries {
-			e.Holds = append(e.Holds, placement.Held{
-				Item:    entry.Item,
-				Memory:  entry.Memory,
-				Ready:   b.serves(state, entry.Item, now),
-				Leaving: entry.Unload != "",
+			e.HeldItems = append(e.HeldItems, placement.HeldItem{
+				Item:      entry.Item,
+				Memory:    entry.Memory,
+				Ready:     b.serves(state, entry.Item, now),
+				Unloading: entry.Unload != "",
 			})
 		}
 		engines = append(engines, e)
--- a/internal/order/book.go
+++ b/internal/order/reconciler.go
@@ -8,10 +8,9 @@
 	"github.com/chestnutarch/chestnutarch/internal/placement"
 )
 
-// Book is one leader's reconciler: it holds the leader's view of all accounts, and
-// decides the actions that move the engines towards the Goal. A new one is made for each
-// leadership. It is not safe for concurrent use.
-type Book struct {
+// Reconciler moves the engines towards the Goal for one leader: it holds the leader's view
+// of all accounts and decides the actions. A new one is made for each leadership. It is not safe for concurrent use.
+type Reconciler struct {
 	options Options
 	goal    Goal
 	wanted  map[engineItem]struct{}
@@ -107,9 +106,9 @@
 	nextSend time.Time
 }
 
-// NewBook returns the reconciler of a new leader.
-func NewBook(o Options) *Book {
-	b := &Book{
+// NewReconciler returns the reconciler of a new leader.
+func NewReconciler(o Options) *Reconciler {
+	b := &Reconciler{
 		options:       o.withDefaults(),
 		engines:       make(map[string]*engineState),
 		byKey:         make(map[string]*engineState),
@@ -120,15 +119,15 @@
 	return b
 }
 
-// SetBudget sets the weight store's limits on loads started per second and on loads that
+// SetLoadLimits sets the weight store's limits on loads started per second and on loads that
 // run at once.
-func (b *Book) SetBudget(loadsPerSecond float64, concurrent int) {
+func (b *Reconciler) SetLoadLimits(loadsPerSecond float64, concurrent int) {
 	b.options.LoadsPerSecond = loadsPerSecond
 	b.options.ConcurrentLoads = concurrent
 }
 
 // SetGoal replaces the goal.
-func (b *Book) SetGoal(g Goal) {
+func (b *Reconciler) SetGoal(g Goal) {
 	b.goal = g
 	b.wanted = make(map[engineItem]struct{}, len(g.Assignments))
 	b.planned = make(map[placement.Item]map[string]int)
@@ -155,7 +154,7 @@
 }
 
 // engineState returns the state of an engine, which it creates if necessary.
-func (b *Book) engineState(name string) *engineState {
+func (b *Reconciler) engineState(name string) *engineState {
 	state, known := b.engines[name]
 	if known {
 		return state
@@ -173,21 +172,21 @@
 
 // Deposed reports whether a record was found that carries a later leader's fencing number
 // or cannot be decoded. Next then returns no more actions.
-func (b *Book) Deposed() bool { return b.deposed }
+func (b *Reconciler) Deposed() bool { return b.deposed }
 
 // InControl reports whether every account carries this leader's fencing number.
-func (b *Book) InControl() bool { return b.ownsAll && !b.deposed }
+func (b *Reconciler) InControl() bool { return b.ownsAll && !b.deposed }
 
 // ReadDone records the result of a Read. With ok false the read failed.
-func (b *Book) ReadDone(key string, s Stored, ok bool) {
+func (b *Reconciler) ReadDone(key string, s Stored, ok bool) {
 	if r := b.register(key); r != nil {
 		r.readDone(s, ok)
 		b.decodeValue(key)
 	}
 }
 
-// Written records the result of a Write. Current is the conflicting value, if known.
-func (b *Book) Written(key string, outcome WriteOutcome, revision int64, current *Stored) {
+// WriteDone records the result of a Write. Current is the conflicting value, if known.
+func (b *Reconciler) WriteDone(key string, outcome WriteOutcome, revision int64, current *Stored) {
 	if r := b.register(key); r != nil {
 		if b.faults.forgetUnknownWrite && outcome == OutcomeUnknown {
 			outcome, revision = TookEffect, r.revision+1
@@ -198,7 +197,7 @@
 }
 
 // register returns the register of a key, or nil.
-func (b *Book) register(key string) *register {
+func (b *Reconciler) register(key string) *register {
 	if key == b.index.key {
 		return &b.index
 	}
@@ -209,7 +208,7 @@
 }
 
 // decodeValue decodes the value of a key once it is known and no write is pending.
-func (b *Book) decodeValue(key string) {
+func (b *Reconciler) decodeValue(key string) {
 	if key == b.index.key {
 		b.decodeIndexValue()
 		return
@@ -219,7 +218,7 @@
 	}
 }
 
-func (b *Book) decodeIndexValue() {
+func (b *Reconciler) decodeIndexValue() {
 	if !b.index.idle() || len(b.index.value) == 0 {
 		return
 	}
@@ -235,7 +234,7 @@
 	}
 }
 
-func (b *Book) decodeAccountValue(state *engineState) {
+func (b *Reconciler) decodeAccountValue(state *engineState) {
 	if len(state.value) == 0 {
 		return
 	}
@@ -270,7 +269,7 @@
 }
 
 // Reported records the result of a Poll. With ok false there was no answer.
-func (b *Book) Reported(p Poll, r Report, ok bool, now time.Time) {
+func (b *Reconciler) Reported(p Poll, r Report, ok bool, now time.Time) {
 	state, known := b.engines[p.Engine]
 	if !known {
 		return
@@ -287,7 +286,7 @@
 }
 
 // Answered records an engine's answer to a Send.
-func (b *Book) Answered(s Send, answer Answer, now time.Time) {
+func (b *Reconciler) Answered(s Send, answer Answer, now time.Time) {
 	state, known := b.engines[s.Engine]
 	if !known {
 		return
@@ -305,14 +304,14 @@
 
 // Unanswered records that a Send was not answered, or not sent because the engine is in
 // another incarnation.
-func (b *Book) Unanswered(s Send, now time.Time) {
+func (b *Reconciler) Unanswered(s Send, now time.Time) {
 	if state, known := b.engines[s.Engine]; known {
 		b.scheduleRepeat(state, s.Order.ID, now)
 	}
 }
 
 // scheduleRepeat ends a send and sets the time from which the order may be repeated.
-func (b *Book) scheduleRepeat(state *engineState, id string, now time.Time) {
+func (b *Reconciler) scheduleRepeat(state *engineState, id string, now time.Time) {
 	if s, known := state.sends[id]; known {
 		s.inFlight = false
 		s.nextSend = now.Add(b.options.RepeatAfter)
@@ -320,7 +319,7 @@
 }
 
 // uniqueID returns an ID that no other call and no other leader returns.
-func (b *Book) uniqueID() string {
+func (b *Reconciler) uniqueID() string {
 	b.sequence++
 	return fmt.Sprintf("%d-%d", b.options.Fence, b.sequence)
 }
--- a/internal/order/register.go
+++ b/internal/order/register.go
@@ -76,7 +76,7 @@
 		r.value = r.pending.Value
 		r.revision = revision
 		r.pending = nil
-	case outcome == DidNot && current != nil:
+	case outcome == NoEffect && current != nil:
 		r.readDone(*current, true)
 	default:
 		r.loaded = false
--- a/internal/order/report_test.go
+++ b/internal/order/report_test.go
@@ -16,7 +16,7 @@
 func TestReportFromBeforeTheAccountWasReadResetsNothing(t *testing.T) {
 	for _, trust := range []bool{false, true} {
 		now := time.Unix(1_000_000, 0)
-		b := NewBook(Options{Prefix: "/p/", Fence: 5})
+		b := NewReconciler(Options{Prefix: "/p/", Fence: 5})
 		b.faults.trustOldReport = trust
 		b.SetGoal(Goal{Engines: []EngineSpec{{Name: "e", FailureDomain: "a", Capacity: 100}}})
 		item := placement.Item{Model: "m", Version: "v1"}
@@ -31,7 +31,7 @@
 					b.ReadDone(a.Key, kv[a.Key], true)
 				case Write:
 					kv[a.Key] = Stored{Revision: kv[a.Key].Revision + 1, Value: a.Value}
-					b.Written(a.Key, TookEffect, kv[a.Key].Revision, nil)
+					b.WriteDone(a.Key, TookEffect, kv[a.Key].Revision, nil)
 				case Poll:
 					early = &a
 				}
@@ -41,7 +41,7 @@
 		b.Reported(*early, Report{Incarnation: "e/1"}, true, now)
 		for _, a := range b.Next(now) {
 			if w, ok := a.(Write); ok {
-				b.Written(w.Key, TookEffect, kv[w.Key].Revision+1, nil)
+				b.WriteDone(w.Key, TookEffect, kv[w.Key].Revision+1, nil)
 			}
 		}
 		held := b.engines["e"].account.Used()
--- a/internal/order/simulation_test.go
+++ b/internal/order/simulation_test.go
@@ -38,10 +38,10 @@
 
 // leader is a planner that acts as leader, possibly after it was deposed.
 type leader struct {
-	book      *Book
-	plannedAt time.Time
-	paused    bool
-	deposed   bool
+	reconciler *Reconciler
+	plannedAt  time.Time
+	paused     bool
+	deposed    bool
 }
 
 // message is a request or an answer in flight. A request stays in flight after its sender
@@ -218,12 +218,12 @@
 // elect starts a new leader without notifying the previous one.
 func (sim *simulation) elect() {
 	sim.revision++
-	b := NewBook(Options{
+	b := NewReconciler(Options{
 		Prefix: "/p/", Fence: sim.revision, LoadsPerSecond: fuzzRate, ConcurrentLoads: fuzzConcurrent,
 		LoadTimeout: time.Minute, MissingAfter: 8 * time.Second, RemovalGrace: time.Second,
 	})
 	b.faults = sim.faults
-	sim.leaders = append(sim.leaders, &leader{book: b})
+	sim.leaders = append(sim.leaders, &leader{reconciler: b})
 }
 
 // step makes a leader plan and puts its actions in flight.
@@ -231,12 +231,12 @@
 	if l.paused || l.deposed {
 		return
 	}
-	if l.book.Deposed() {
+	if l.reconciler.Deposed() {
 		l.deposed = true
 		return
 	}
 	sim.plan(l)
-	for _, a := range l.book.Next(sim.now) {
+	for _, a := range l.reconciler.Next(sim.now) {
 		sim.inFlight = append(sim.inFlight, &message{sender: l, action: a, sent: sim.now})
 	}
 }
@@ -260,16 +260,16 @@
 	}
 	if l.plannedAt.IsZero() {
 		l.plannedAt = sim.now
-		l.book.SetGoal(goal)
+		l.reconciler.SetGoal(goal)
 		return
 	}
-	if sim.now.Sub(l.plannedAt) < 500*time.Millisecond || !l.book.Surveyed(sim.now) {
+	if sim.now.Sub(l.plannedAt) < 500*time.Millisecond || !l.reconciler.Surveyed(sim.now) {
 		return
 	}
 	l.plannedAt = sim.now
-	view := l.book.View(sim.now)
-	goal.SetPlan(placement.Make(placement.Input{Models: sim.doc.Models, Engines: view, Quiet: l.book.Quiet(sim.now)}), view)
-	l.book.SetGoal(goal)
+	view := l.reconciler.View(sim.now)
+	goal.SetPlan(placement.NewPlan(placement.Input{Models: sim.doc.Models, Engines: view, Stable: l.reconciler.Stable(sim.now)}), view)
+	l.reconciler.SetGoal(goal)
 }
 
 // handleRequest executes a request at its destination.
@@ -278,14 +278,14 @@
 	switch a := m.action.(type) {
 	case Read:
 		s, ok := sim.kv[a.Key], !sim.outage
-		m.answer = func() { m.sender.book.ReadDone(a.Key, s, ok) }
+		m.answer = func() { m.sender.reconciler.ReadDone(a.Key, s, ok) }
 	case Write:
 		m.answer = sim.handleWrite(m, a)
 	case Poll:
 		e := sim.engine(a.Engine)
 		r, ok := e.previousReport, !e.down
 		e.previousReport = e.report()
-		m.answer = func() { m.sender.book.Reported(a, r, ok, sim.now) }
+		m.answer = func() { m.sender.reconciler.Reported(a, r, ok, sim.now) }
 	case Send:
 		m.answer = sim.handleSend(m, a)
 	}
@@ -293,26 +293,26 @@
 
 func (sim *simulation) handleWrite(m *message, a Write) func() {
 	if sim.outage {
-		return func() { m.sender.book.Written(a.Key, OutcomeUnknown, 0, nil) }
+		return func() { m.sender.reconciler.WriteDone(a.Key, OutcomeUnknown, 0, nil) }
 	}
 	current := sim.kv[a.Key]
 	if current.Revision != a.Expected {
-		return func() { m.sender.book.Written(a.Key, DidNot, 0, &current) }
+		return func() { m.sender.reconciler.WriteDone(a.Key, NoEffect, 0, &current) }
 	}
 	sim.revision++
 	sim.kv[a.Key] = Stored{Revision: sim.revision, Value: a.Value}
 	rev := sim.revision
-	return func() { m.sender.book.Written(a.Key, TookEffect, rev, nil) }
+	return func() { m.sender.reconciler.WriteDone(a.Key, TookEffect, rev, nil) }
 }
 
 func (sim *simulation) handleSend(m *message, a Send) func() {
 	e := sim.engine(a.Engine)
 	accepted := e.incarnation() == a.Incarnation || sim.faults.anyIncarnation
 	if e.down || !accepted {
-		return func() { m.sender.book.Unanswered(a, sim.now) }
+		return func() { m.sender.reconciler.Unanswered(a, sim.now) }
 	}
 	answer := e.handleOrder(sim, a.Order)
-	return func() { m.sender.book.Answered(a, answer, sim.now) }
+	return func() { m.sender.reconciler.Answered(a, answer, sim.now) }
 }
 
 // timeOut reports to the sender that no answer was received. The request may still arrive.
@@ -323,13 +323,13 @@
 	m.timedOut = true
 	switch a := m.action.(type) {
 	case Read:
-		m.sender.book.ReadDone(a.Key, Stored{}, false)
+		m.sender.reconciler.ReadDone(a.Key, Stored{}, false)
 	case Write:
-		m.sender.book.Written(a.Key, OutcomeUnknown, 0, nil)
+		m.sender.reconciler.WriteDone(a.Key, OutcomeUnknown, 0, nil)
 	case Poll:
-		m.sender.book.Reported(a, Report{}, false, sim.now)
+		m.sender.reconciler.Reported(a, Report{}, false, sim.now)
 	case Send:
-		m.sender.book.Unanswered(a, sim.now)
+		m.sender.reconciler.Unanswered(a, sim.now)
 	}
 }
 
--- a/internal/peer/pieces.go
+++ b/internal/peer/pieces.go
@@ -98,15 +98,15 @@
 	if err != nil {
 		return 0, err
 	}
-	ctx, idle := transport.WithIdle(ctx, firstPieceTimeout, pieceTimeout)
+	ctx, idle := transport.WithIdleTimeout(ctx, firstPieceTimeout, pieceTimeout)
 	defer idle.Stop()
 	onPiece := func() {
 		idle.Received()
 		p.resetTimeouts(c)
 	}
 	transferTime, err = receive(ctx, c.conn, open, message, onPiece)
-	if errors.Is(context.Cause(ctx), transport.ErrIdle) {
-		err = status.Error(codes.DeadlineExceeded, transport.ErrIdle.Error())
+	if errors.Is(context.Cause(ctx), transport.ErrIdleTimeout) {
+		err = status.Error(codes.DeadlineExceeded, transport.ErrIdleTimeout.Error())
 	}
 	p.recordOutcome(address, c, err)
 	return transferTime, callError(address, err)
--- a/internal/placement/fits.go
+++ b/internal/placement/fits.go
@@ -70,9 +70,9 @@
 	return fmt.Sprintf("%.2fGiB", float64(bytes)/float64(document.GiB))
 }
 
-// Fits checks that one copy of every model and adapter can be placed on the
+// CheckFits checks that one copy of every model and adapter can be placed on the
 // document's engines. It returns a *DoesNotFitError if that is not possible.
-func Fits(doc *document.Document) error {
+func CheckFits(doc *document.Document) error {
 	a := MemoryBudgetOf(doc)
 	if len(a.Unplaced) > 0 {
 		return &DoesNotFitError{MemoryBudget: a}
@@ -84,23 +84,23 @@
 // engines.
 func MemoryBudgetOf(doc *document.Document) MemoryBudget {
 	a := memoryTotals(doc)
-	p := Make(Input{Models: doc.Models, Engines: EnginesOf(doc)})
+	p := NewPlan(Input{Models: doc.Models, Engines: EnginesOf(doc)})
 	a.Unplaced = p.Unplaced
 	a.OneDomain = p.OneDomain
 	return a
 }
 
-// FitsChange checks that next fits, and that the new versions in next can be
+// CheckChangeFits checks that next fits, and that the new versions in next can be
 // loaded beside the copies of current, so that no name is without a copy during
 // the change. It returns a *DoesNotFitError if not.
-func FitsChange(current, next *document.Document) error {
-	if err := Fits(next); err != nil {
+func CheckChangeFits(current, next *document.Document) error {
+	if err := CheckFits(next); err != nil {
 		return err
 	}
-	before := Make(Input{Models: current.Models, Engines: EnginesOf(current)})
+	before := NewPlan(Input{Models: current.Models, Engines: EnginesOf(current)})
 	engines := EnginesOf(next)
 	assignPlan(engines, before)
-	after := Make(Input{Models: next.Models, Engines: engines, Quiet: true})
+	after := NewPlan(Input{Models: next.Models, Engines: engines, Stable: true})
 	if len(after.Unplaced) == 0 {
 		return nil
 	}
@@ -118,7 +118,7 @@
 	}
 	for _, a := range p.Assignments {
 		if i, known := index[a.Engine]; known {
-			engines[i].Holds = append(engines[i].Holds, Held{Item: a.Item, Memory: a.Memory, Ready: true})
+			engines[i].HeldItems = append(engines[i].HeldItems, HeldItem{Item: a.Item, Memory: a.Memory, Ready: true})
 		}
 	}
 }
--- a/internal/placement/fleet.go
+++ b/internal/placement/fleet.go
@@ -90,7 +90,7 @@
 		held:    make(map[assignmentKey]struct{}),
 		reasons: make(map[assignmentKey]Reason),
 		reduced: make(map[int]struct{}),
-		stable:  in.Quiet,
+		stable:  in.Stable,
 	}
 	byItem, byName := f.indexItems(in.Models, in.Demand)
 	f.indexEngines(in.Engines)
@@ -198,7 +198,7 @@
 	for _, e := range f.visitOrder {
 		state := &f.engines[e]
 		for _, bases := range []bool{true, false} {
-			for _, h := range state.spec.Holds {
+			for _, h := range state.spec.HeldItems {
 				if h.Item.IsBase() == bases {
 					f.assignHeldItem(e, h, byItem, byName)
 				}
@@ -211,7 +211,7 @@
 	}
 }
 
-func (f *fleet) assignHeldItem(e int, h Held, byItem map[Item]int, byName map[Name]int) {
+func (f *fleet) assignHeldItem(e int, h HeldItem, byItem map[Item]int, byName map[Name]int) {
 	state := &f.engines[e]
 	state.free -= h.Memory
 	index, current := byItem[h.Item]
@@ -225,7 +225,7 @@
 	f.held[assignmentKey{e, index}] = struct{}{}
 	base := f.items[index].base
 	switch {
-	case h.Leaving:
+	case h.Unloading:
 		state.blocked = append(state.blocked, index)
 		return
 	case base != noBase && !slices.Contains(state.planned, base):
--- a/internal/placement/placementmeasure/cost.go
+++ b/internal/placement/placementmeasure/cost.go
@@ -41,7 +41,7 @@
 	// moves.
 	for plan.Moves > 0 {
 		in.Engines = assignPlan(engines, plan)
-		plan = placement.Make(in)
+		plan = placement.NewPlan(in)
 	}
 	unchanged, _, _ := timePlan(in)
 	in.Demand = randomDemand(models, demandPerEngine*float64(s.engines), random)
@@ -60,7 +60,7 @@
 	runtime.ReadMemStats(&before)
 	for range runsPerPlan {
 		start := time.Now()
-		plan = placement.Make(in)
+		plan = placement.NewPlan(in)
 		times = append(times, time.Since(start))
 	}
 	runtime.ReadMemStats(&after)
--- a/internal/placement/placementmeasure/fleet.go
+++ b/internal/placement/placementmeasure/fleet.go
@@ -74,12 +74,12 @@
 	out := make([]placement.Engine, len(engines))
 	for i, e := range engines {
 		index[e.Name] = i
-		e.Holds = nil
+		e.HeldItems = nil
 		out[i] = e
 	}
 	for _, a := range p.Assignments {
 		e := &out[index[a.Engine]]
-		e.Holds = append(e.Holds, placement.Held{Item: a.Item, Memory: a.Memory, Ready: true})
+		e.HeldItems = append(e.HeldItems, placement.HeldItem{Item: a.Item, Memory: a.Memory, Ready: true})
 	}
 	return out
 }
--- a/internal/placement/placementmeasure/policies.go
+++ b/internal/placement/placementmeasure/policies.go
@@ -25,7 +25,7 @@
 func (p *plannedPolicy) onStep(w *simulation, rates map[placement.Name]float64, now time.Duration) {
 	reportTime := time.Unix(0, 0).Add(now + time.Second)
 	p.estimator.Observe(report(rates), reportTime)
-	plan := placement.Make(placement.Input{Models: w.trace.models, Engines: w.engines, Demand: p.estimator.Rates(reportTime)})
+	plan := placement.NewPlan(placement.Input{Models: w.trace.models, Engines: w.engines, Demand: p.estimator.Rates(reportTime)})
 	wanted := make(map[copyKey]struct{}, len(plan.Assignments))
 	index := make(map[string]int, len(w.engines))
 	for i, e := range w.engines {
@@ -35,7 +35,7 @@
 		wanted[copyKey{index[a.Engine], a.Item}] = struct{}{}
 	}
 	for i := range w.engines {
-		for _, h := range slices.Clone(w.engines[i].Holds) {
+		for _, h := range slices.Clone(w.engines[i].HeldItems) {
 			if _, stays := wanted[copyKey{i, h.Item}]; !stays {
 				w.unload(i, h.Item)
 			}
@@ -116,7 +116,7 @@
 
 func (p *lruPolicy) oldestUse(w *simulation, e int, except string) time.Duration {
 	oldest := traceLength
-	for _, h := range w.engines[e].Holds {
+	for _, h := range w.engines[e].HeldItems {
 		if h.Item.Model != except {
 			oldest = min(oldest, w.lastUsed[copyKey{e, h.Item}])
 		}
@@ -128,7 +128,7 @@
 // recently used first.
 func (p *lruPolicy) makeRoom(w *simulation, e int, need int64, keep placement.Item) {
 	for w.freeMemory(e) < need {
-		holds := w.engines[e].Holds
+		holds := w.engines[e].HeldItems
 		oldest := -1
 		for i, h := range holds {
 			if h.Item.Model == keep.Model {
--- a/internal/placement/placementmeasure/policy.go
+++ b/internal/placement/placementmeasure/policy.go
@@ -105,7 +105,7 @@
 	// Every policy starts from the same placement, which is planned for the
 	// mean demand.
 	in := placement.Input{Models: models, Engines: engines, Demand: w.meanDemand()}
-	for plan := placement.Make(in); ; plan = placement.Make(in) {
+	for plan := placement.NewPlan(in); ; plan = placement.NewPlan(in) {
 		in.Engines = assignPlan(engines, plan)
 		if plan.Moves == 0 {
 			break
@@ -136,7 +136,7 @@
 func (w *simulation) indexReady() {
 	clear(w.ready)
 	for i, e := range w.engines {
-		for _, h := range e.Holds {
+		for _, h := range e.HeldItems {
 			if h.Ready {
 				w.ready[h.Item] = append(w.ready[h.Item], i)
 			}
@@ -223,14 +223,14 @@
 // load starts loading an item; it is ready in the next step.
 func (w *simulation) load(e int, item placement.Item) {
 	w.loads++
-	w.engines[e].Holds = append(w.engines[e].Holds, placement.Held{Item: item, Memory: w.memory[item]})
+	w.engines[e].HeldItems = append(w.engines[e].HeldItems, placement.HeldItem{Item: item, Memory: w.memory[item]})
 	w.loading = append(w.loading, copyKey{e, item})
 }
 
 func (w *simulation) finishLoads() {
 	for _, l := range w.loading {
-		for i := range w.engines[l.engine].Holds {
-			if h := &w.engines[l.engine].Holds[i]; h.Item == l.item {
+		for i := range w.engines[l.engine].HeldItems {
+			if h := &w.engines[l.engine].HeldItems[i]; h.Item == l.item {
 				h.Ready = true
 			}
 		}
@@ -240,19 +240,19 @@
 }
 
 func (w *simulation) unload(e int, item placement.Item) {
-	holds := w.engines[e].Holds
-	w.engines[e].Holds = slices.DeleteFunc(slices.Clone(holds), func(h placement.Held) bool { return h.Item == item })
+	holds := w.engines[e].HeldItems
+	w.engines[e].HeldItems = slices.DeleteFunc(slices.Clone(holds), func(h placement.HeldItem) bool { return h.Item == item })
 	w.indexReady()
 }
 
 func (w *simulation) freeMemory(e int) int64 {
 	free := w.engines[e].Capacity
-	for _, h := range w.engines[e].Holds {
+	for _, h := range w.engines[e].HeldItems {
 		free -= h.Memory
 	}
 	return free
 }
 
 func (w *simulation) holds(e int, item placement.Item) bool {
-	return slices.ContainsFunc(w.engines[e].Holds, func(h placement.Held) bool { return h.Item == item })
+	return slices.ContainsFunc(w.engines[e].HeldItems, func(h placement.HeldItem) bool { return h.Item == item })
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Make computes what every engine should hold. The same input gives the same
+// NewPlan computes what every engine should hold. The same input gives the same
 // plan.
-func Make(in Input) Plan {
+func NewPlan(in Input) Plan {
 	f := newFleet(in)
 	f.placeFirstCopies()
 	f.placeSecondDomains()
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -43,7 +43,7 @@
 			Name: fmt.Sprintf("e%d", i), FailureDomain: fmt.Sprintf("d%d", i%3), Capacity: 64, Available: true,
 		})
 	}
-	assignPlan(in.Engines, Make(in))
+	assignPlan(in.Engines, NewPlan(in))
 	for i := range in.Engines {
 		in.Engines[i].Available = rapid.IntRange(0, 5).Draw(t, "up") > 0
 	}
@@ -62,7 +62,7 @@
 func TestPlansRespectCapacityAndKeepAdaptersWithTheirBase(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
-		p := Make(in)
+		p := NewPlan(in)
 		used := make(map[string]int64)
 		bases := make(map[string]bool)
 		for _, a := range p.Assignments {
@@ -76,7 +76,7 @@
 		for _, a := range p.Assignments {
 			require.True(t, bases[a.Engine+"/"+a.Item.Model], "%v is planned on an engine without its base model", a)
 		}
-		require.Equal(t, p, Make(in), "the same input must give the same plan")
+		require.Equal(t, p, NewPlan(in), "the same input must give the same plan")
 	})
 }
 
@@ -86,12 +86,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		for range 30 {
-			p := Make(in)
+			p := NewPlan(in)
 			if p.Moves == 0 {
 				return
 			}
 			for i := range in.Engines {
-				in.Engines[i].Holds = nil
+				in.Engines[i].HeldItems = nil
 			}
 			assignPlan(in.Engines, p)
 		}
@@ -113,10 +113,10 @@
 }
 
 func TestFitsReportsTheMemoryBudget(t *testing.T) {
-	require.NoError(t, Fits(testDocument(2, 6, 20*document.GiB)))
+	require.NoError(t, CheckFits(testDocument(2, 6, 20*document.GiB)))
 	// The sum fits, 120 of 128 GiB, but no engine has memory for three models
 	// of 24 GiB.
-	err := Fits(testDocument(2, 5, 24*document.GiB))
+	err := CheckFits(testDocument(2, 5, 24*document.GiB))
 	require.ErrorIs(t, err, ErrDoesNotFit)
 	require.ErrorContains(t, err, "models 120.00GiB + adapters 0.00GiB = 120.00GiB; "+
 		"engines 160.00GiB - KV-cache reserve 32.00GiB = 128.00GiB; largest model 24.00GiB, largest engine 64.00GiB")
@@ -132,9 +132,9 @@
 	for i := range after.Models {
 		after.Models[i].Version = "v2"
 	}
-	require.NoError(t, Fits(after))
-	require.ErrorIs(t, FitsChange(before, after), ErrDoesNotFit)
-	require.NoError(t, FitsChange(testDocument(4, 6, 20*document.GiB), testDocument(4, 6, 20*document.GiB)))
+	require.NoError(t, CheckFits(after))
+	require.ErrorIs(t, CheckChangeFits(before, after), ErrDoesNotFit)
+	require.NoError(t, CheckChangeFits(testDocument(4, 6, 20*document.GiB), testDocument(4, 6, 20*document.GiB)))
 }
 
 // After the loss of a failure domain, the items that had copies there are
@@ -142,10 +142,10 @@
 func TestCopiesOfALostDomainAreReplacedBeforeDemandIsServed(t *testing.T) {
 	doc := testDocument(3, 3, 20*document.GiB)
 	in := Input{Models: doc.Models, Engines: EnginesOf(doc)}
-	assignPlan(in.Engines, Make(in))
+	assignPlan(in.Engines, NewPlan(in))
 	in.Engines[0].Available = false
 	in.Demand = map[Name]float64{{Model: "m0"}: 1000}
-	p := Make(in)
+	p := NewPlan(in)
 	require.Empty(t, p.Unplaced)
 	require.Empty(t, p.OneDomain)
 	for i, a := range p.Assignments {
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -34,15 +34,15 @@
 	return i.Adapter == ""
 }
 
-// Held is an item that is resident on an engine or may become resident there.
-type Held struct {
+// HeldItem is an item that is resident on an engine or may become resident there.
+type HeldItem struct {
 	Item Item
 	// Memory is in bytes.
 	Memory int64
 	// Ready means that the copy serves requests.
 	Ready bool
-	// Leaving means that an order to unload the copy may take effect.
-	Leaving bool
+	// Unloading means that an order to unload the copy may take effect.
+	Unloading bool
 }
 
 // Engine is one model engine as the planner sees it.
@@ -61,8 +61,8 @@
 	// shortly. Its copies do not count, but no item gives up its second failure
 	// domain to replace them yet.
 	Uncertain bool
-	// Holds lists every item that could be resident.
-	Holds []Held
+	// HeldItems lists every item that could be resident.
+	HeldItems []HeldItem
 }
 
 // Options configures the placement policy. The zero value of a field selects
@@ -103,11 +103,11 @@
 	// Demand is the offered load by name in tokens per second. A name that is
 	// missing has no demand.
 	Demand map[Name]float64
-	// Quiet means that for some time every engine has been available and every
+	// Stable means that for some time every engine has been available and every
 	// copy has been serving. Only then do other names give up their second
 	// failure domain for a new version whose old version still serves. Before
 	// that, memory may still become free by itself.
-	Quiet bool
+	Stable bool
 	// Options configures the policy.
 	Options Options
 }
--- a/internal/planner/calls.go
+++ b/internal/planner/calls.go
@@ -12,7 +12,7 @@
 	"github.com/chestnutarch/chestnutarch/internal/placement"
 )
 
-// execute starts an action that the book returned.
+// execute starts an action that the reconciler returned.
 func (l *leadership) execute(ctx context.Context, action order.Action) {
 	switch a := action.(type) {
 	case order.Read:
@@ -54,7 +54,7 @@
 		sleep(ctx, storeFailureDelay)
 	}
 	return func() {
-		l.book.ReadDone(a.Key, order.Stored{Revision: entry.Revision, Value: entry.Value}, known)
+		l.reconciler.ReadDone(a.Key, order.Stored{Revision: entry.Revision, Value: entry.Value}, known)
 	}
 }
 
@@ -64,18 +64,18 @@
 	switch {
 	case err != nil:
 		// The key is read back even after an error that guarantees that nothing
-		// was sent, so that the book handles all failed writes in one way.
+		// was sent, so that the reconciler handles all failed writes in one way.
 		sleep(ctx, storeFailureDelay)
 	case result.Outcome == kv.TookEffect:
 		outcome = order.TookEffect
-	case result.Outcome == kv.DidNot:
-		outcome = order.DidNot
+	case result.Outcome == kv.NoEffect:
+		outcome = order.NoEffect
 	}
 	var current *order.Stored
 	if result.Current != nil {
 		current = &order.Stored{Revision: result.Current.Revision, Value: result.Current.Value}
 	}
-	return func() { l.book.Written(a.Key, outcome, result.Revision, current) }
+	return func() { l.reconciler.WriteDone(a.Key, outcome, result.Revision, current) }
 }
 
 func (l *leadership) pollEngine(ctx context.Context, url string, a order.Poll) func() {
@@ -95,7 +95,7 @@
 	}
 	return func() {
 		report.Draining = report.Draining || l.draining(a.Engine)
-		l.book.Reported(a, report, ok, l.planner.options.Clock().Wall)
+		l.reconciler.Reported(a, report, ok, l.planner.options.Clock().Wall)
 	}
 }
 
@@ -123,10 +123,10 @@
 	})
 	if err != nil {
 		l.log.Debug().Err(err).Str("engine", a.Engine).Str("order", a.Order.ID).Msg("order call to the engine failed")
-		return func() { l.book.Unanswered(a, l.planner.options.Clock().Wall) }
+		return func() { l.reconciler.Unanswered(a, l.planner.options.Clock().Wall) }
 	}
 	l.recordAnswer(a, kind, status)
-	return func() { l.book.Answered(a, answerOf(status.State), l.planner.options.Clock().Wall) }
+	return func() { l.reconciler.Answered(a, answerOf(status.State), l.planner.options.Clock().Wall) }
 }
 
 func (l *leadership) recordAnswer(a order.Send, kind engine.OrderKind, status engine.OrderStatus) {
--- a/internal/planner/leadership.go
+++ b/internal/planner/leadership.go
@@ -43,7 +43,7 @@
 	planner     *Planner
 	term        *term
 	log         zerolog.Logger
-	book        *order.Book
+	reconciler  *order.Reconciler
 	completions chan func()
 	calls       *errgroup.Group
 	// The slots bound the concurrent calls to the key-value service and to the
@@ -72,7 +72,7 @@
 		planner:     p,
 		term:        t,
 		log:         log,
-		book:        order.NewBook(o),
+		reconciler:  order.NewReconciler(o),
 		completions: make(chan func(), completionBuffer),
 		estimator:   demand.NewEstimator(p.options.Demand),
 
@@ -127,14 +127,14 @@
 	switch {
 	case l.lostErr != nil:
 		return l.lostErr
-	case l.book.Deposed():
+	case l.reconciler.Deposed():
 		return errors.Wrap(errLeadershipLost, "a later leader has taken over")
 	case !l.term.valid(now, l.planner.options.LeaseTTL):
 		return errors.Wrap(errLeadershipLost, "the lease was not renewed within its TTL less the safety margin")
 	}
 	l.renewLeaseIfDue(ctx, now)
 	l.replanIfDue(now)
-	for _, action := range l.book.Next(now.Wall) {
+	for _, action := range l.reconciler.Next(now.Wall) {
 		l.execute(ctx, action)
 	}
 	return nil
@@ -184,22 +184,22 @@
 	l.engineURLs = urlsOf(snapshot.Document)
 	if changed {
 		store := snapshot.Document.WeightStore
-		l.book.SetBudget(store.LoadsPerSecond, store.ConcurrentLoads)
-		// The book must know the engines before it can poll them.
+		l.reconciler.SetLoadLimits(store.LoadsPerSecond, store.ConcurrentLoads)
+		// The reconciler must know the engines before it can poll them.
 		goal.Assignments = l.plan.Assignments
-		l.book.SetGoal(goal)
+		l.reconciler.SetGoal(goal)
 	}
-	if l.book.Surveyed(now.Wall) {
-		view := l.book.View(now.Wall)
-		l.plan = placement.Make(placement.Input{
+	if l.reconciler.Surveyed(now.Wall) {
+		view := l.reconciler.View(now.Wall)
+		l.plan = placement.NewPlan(placement.Input{
 			Models:  snapshot.Document.Models,
 			Engines: view,
 			Demand:  l.demandRates,
-			Quiet:   l.book.Quiet(now.Wall),
+			Stable:  l.reconciler.Stable(now.Wall),
 			Options: l.planner.options.Placement,
 		})
 		goal.SetPlan(l.plan, view)
-		l.book.SetGoal(goal)
+		l.reconciler.SetGoal(goal)
 	}
 	l.publishStatus(now)
 	l.planDuration = clock.Elapsed(now, l.planner.options.Clock())
--- a/internal/planner/process.go
+++ b/internal/planner/process.go
@@ -27,7 +27,7 @@
 // Process is one chestnut-planner process: a planner with its configuration and
 // its listeners.
 type Process struct {
-	config          *configsync.Keeper
+	config          *configsync.Syncer
 	planner         *Planner
 	metrics         metrics.Registry
 	peerListener    net.Listener
@@ -48,7 +48,7 @@
 	if err := p.listen(ctx, s, security); err != nil {
 		return nil, err
 	}
-	p.config = configsync.NewKeeper(configsync.Options{Store: store, Environment: s.Environment, Log: log, Metrics: p.metrics})
+	p.config = configsync.NewSyncer(configsync.Options{Store: store, Environment: s.Environment, Log: log, Metrics: p.metrics})
 	p.planner, err = New(Options{
 		Environment:  s.Environment,
 		VM:           s.VM,
@@ -65,7 +65,7 @@
 }
 
 func scheme(s *process.Security) string {
-	if s.PeerFiles != nil {
+	if s.PeerReloader != nil {
 		return "https://"
 	}
 	return "http://"
@@ -80,9 +80,9 @@
 		return errors.WithStack(err)
 	}
 	p.peerListener = listener
-	if security.PeerFiles != nil {
+	if security.PeerReloader != nil {
 		required := credentials.ServerOptions{RequireClientCertificate: true, NextProtos: []string{"http/1.1"}}
-		p.peerListener = tls.NewListener(listener, security.PeerFiles.Server(required))
+		p.peerListener = tls.NewListener(listener, security.PeerReloader.Server(required))
 	}
 	if s.Listen.Metrics == "" {
 		return nil
--- a/internal/planner/status.go
+++ b/internal/planner/status.go
@@ -53,7 +53,7 @@
 	Available     bool       `json:"available"`
 	Capacity      int64      `json:"capacity"`
 	Allowed       int64      `json:"allowed"`
-	Holds         []HeldItem `json:"holds"`
+	HeldItems     []HeldItem `json:"holds"`
 }
 
 // HeldItem is an item of an engine's allowed set: the items that may be
@@ -63,8 +63,8 @@
 	Memory int64 `json:"memory"`
 	// Ready means that the copy serves requests.
 	Ready bool `json:"ready"`
-	// Leaving means that the copy is being unloaded.
-	Leaving bool `json:"leaving,omitempty"`
+	// Unloading means that the copy is being unloaded.
+	Unloading bool `json:"leaving,omitempty"`
 }
 
 // Status returns the state that the leader works on. It returns ErrNotLeader on
@@ -86,11 +86,11 @@
 		Fence:     l.term.fence,
 		Version:   l.snapshot.Version,
 		Time:      now.Wall,
-		InControl: l.book.InControl(),
+		InControl: l.reconciler.InControl(),
 		Plan:      l.plan,
 	}
 	s.Demand = topDemand(l.demandRates)
-	for _, e := range l.book.View(now.Wall) {
+	for _, e := range l.reconciler.View(now.Wall) {
 		s.Engines = append(s.Engines, engineStatus(e))
 	}
 	l.planner.status.Store(s)
@@ -114,9 +114,9 @@
 		Available:     e.Available,
 		Capacity:      e.Capacity,
 	}
-	for _, h := range e.Holds {
+	for _, h := range e.HeldItems {
 		s.Allowed += h.Memory
-		s.Holds = append(s.Holds, HeldItem{Item: h.Item, Memory: h.Memory, Ready: h.Ready, Leaving: h.Leaving})
+		s.HeldItems = append(s.HeldItems, HeldItem{Item: h.Item, Memory: h.Memory, Ready: h.Ready, Unloading: h.Unloading})
 	}
 	return s
 }
--- a/internal/process/security.go
+++ b/internal/process/security.go
@@ -21,8 +21,8 @@
 	// Peers is for both sides of connections between the processes of the
 	// system.
 	Peers peer.Security
-	// PeerFiles reloads the certificates that Peers uses; nil for plain text.
-	PeerFiles *credentials.Reloader
+	// PeerReloader reloads the certificates that Peers uses; nil for plain text.
+	PeerReloader *credentials.Reloader
 }
 
 // NewSecurity loads the certificates that the settings name. Its errors are those
@@ -34,7 +34,7 @@
 		target **credentials.Reloader
 	}{
 		{t.Callers, &s.Callers}, {t.Operators, &s.Operators},
-		{t.Upstreams, &s.Upstreams}, {t.KV, &s.KV}, {t.Peers, &s.PeerFiles},
+		{t.Upstreams, &s.Upstreams}, {t.KV, &s.KV}, {t.Peers, &s.PeerReloader},
 	} {
 		loaded, err := reloader(wanted.files)
 		if err != nil {
@@ -45,8 +45,8 @@
 	// Settings with plain text are refused earlier unless it is on loopback or
 	// explicitly allowed.
 	s.Peers = peer.Security{AllowPlainText: true}
-	if s.PeerFiles != nil {
-		s.Peers = peer.Security{Credentials: s.PeerFiles.GRPC()}
+	if s.PeerReloader != nil {
+		s.Peers = peer.Security{Credentials: s.PeerReloader.GRPC()}
 	}
 	return s, nil
 }
--- a/internal/quota/assignment.go
+++ b/internal/quota/assignment.go
@@ -254,7 +254,7 @@
 		all = append(all, ranked{m.cfg.Self, xxhash.Sum64String(m.cfg.Self.VM)})
 	}
 	for _, p := range m.peers {
-		if p.Heard && !p.Leaving {
+		if p.Alive && !p.Leaving {
 			all = append(all, ranked{p.Holder, xxhash.Sum64String(p.VM)})
 		}
 	}
--- a/internal/quota/borrowing.go
+++ b/internal/quota/borrowing.go
@@ -50,7 +50,7 @@
 // canAsk reports whether a lender may be asked now: it is alive, its backoff is over
 // and no Ask to it is pending. An Ask without an answer after askTimeout counts as lost.
 func (m *Machine) canAsk(now clock.Reading, a *account, vm string, view *lenderView) bool {
-	if !m.peers[vm].Heard || now.Mono < view.nextAsk {
+	if !m.peers[vm].Alive || now.Mono < view.nextAsk {
 		return false
 	}
 	pending, found := a.borrowed.pendingAsks[view.askNumber]
--- a/internal/quota/collection.go
+++ b/internal/quota/collection.go
@@ -75,7 +75,7 @@
 func (m *Machine) collectNext(now clock.Reading, a *account) {
 	c := a.collection
 	for _, vm := range slices.Sorted(maps.Keys(a.lenders)) {
-		if vm <= c.currentLender || !m.peers[vm].Heard {
+		if vm <= c.currentLender || !m.peers[vm].Alive {
 			continue
 		}
 		c.currentLender = vm
@@ -179,7 +179,7 @@
 	}
 	available := int64(0)
 	for vm, view := range a.lenders {
-		if !m.peers[vm].Heard {
+		if !m.peers[vm].Alive {
 			continue
 		}
 		units := view.slots * UnitsPerSlot
--- a/internal/quota/fuzz_test.go
+++ b/internal/quota/fuzz_test.go
@@ -91,7 +91,7 @@
 // the bound on admitted tokens.
 func (tr trial) run(faults ...quota.Fault) error {
 	options := tr.options
-	options.Hook = func(m *quota.Machine) {
+	options.OnNewMachine = func(m *quota.Machine) {
 		for _, f := range faults {
 			m.InjectFault(f)
 		}
@@ -133,23 +133,23 @@
 	case pause, pauseMono:
 		w.Pause(vm, s.length, s.kind == pauseMono)
 	case cutBoth:
-		w.Cut(vm, other)
-		w.Cut(other, vm)
-		w.At(w.Now+s.length, func() { w.Mend(vm, other); w.Mend(other, vm) })
+		w.CutLink(vm, other)
+		w.CutLink(other, vm)
+		w.At(w.Now+s.length, func() { w.RestoreLink(vm, other); w.RestoreLink(other, vm) })
 	case cutOneWay:
-		w.Cut(vm, other)
-		w.At(w.Now+s.length, func() { w.Mend(vm, other) })
+		w.CutLink(vm, other)
+		w.At(w.Now+s.length, func() { w.RestoreLink(vm, other) })
 	case outage:
-		w.SetStore(func(f *quotaloop.StoreFaults) { f.Down = true })
-		w.At(w.Now+s.length, func() { w.SetStore(func(f *quotaloop.StoreFaults) { f.Down = false }) })
+		w.ChangeStoreFaults(func(f *quotaloop.StoreFaults) { f.Down = true })
+		w.At(w.Now+s.length, func() { w.ChangeStoreFaults(func(f *quotaloop.StoreFaults) { f.Down = false }) })
 	case lostAnswers:
-		w.SetStore(func(f *quotaloop.StoreFaults) { f.Lost = 400 })
-		w.At(w.Now+s.length, func() { w.SetStore(func(f *quotaloop.StoreFaults) { f.Lost = 0 }) })
+		w.ChangeStoreFaults(func(f *quotaloop.StoreFaults) { f.Lost = 400 })
+		w.At(w.Now+s.length, func() { w.ChangeStoreFaults(func(f *quotaloop.StoreFaults) { f.Lost = 0 }) })
 	case lateWrites:
-		w.SetStore(func(f *quotaloop.StoreFaults) { f.Late, f.LateBy = 400, s.length })
-		w.At(w.Now+s.length, func() { w.SetStore(func(f *quotaloop.StoreFaults) { f.Late = 0 }) })
+		w.ChangeStoreFaults(func(f *quotaloop.StoreFaults) { f.Late, f.LateBy = 400, s.length })
+		w.At(w.Now+s.length, func() { w.ChangeStoreFaults(func(f *quotaloop.StoreFaults) { f.Late = 0 }) })
 	case wallAhead:
-		w.SetWall(vm, s.length)
+		w.ShiftWallClock(vm, s.length)
 	case leave:
 		w.Leave(vm)
 	case newLimits:
@@ -158,11 +158,11 @@
 		w.Settle(vm, rng.Int64N(2*rate)-rate)
 	case storeCut:
 		w.Isolate(vm, false)
-		w.At(w.Now+s.length, func() { w.RejoinStore(vm) })
+		w.At(w.Now+s.length, func() { w.ReconnectStore(vm) })
 	case isolate:
 		w.Isolate(vm, true)
-		w.At(w.Now+s.length, func() { w.RejoinPeers(vm) })
-		w.At(w.Now+2*s.length, func() { w.RejoinStore(vm) })
+		w.At(w.Now+s.length, func() { w.ReconnectPeers(vm) })
+		w.At(w.Now+2*s.length, func() { w.ReconnectStore(vm) })
 	case lossyNetwork:
 		w.Network.Loss = 300
 		w.At(w.Now+s.length, func() { w.Network.Loss = 0 })
--- a/internal/quota/lenders.go
+++ b/internal/quota/lenders.go
@@ -98,7 +98,7 @@
 func (m *Machine) estimateElsewhere(now clock.Reading, a *account) int64 {
 	sum := int64(roundingSlack)
 	for vm, view := range a.lenders {
-		if m.peers[vm].Heard {
+		if m.peers[vm].Alive {
 			sum += m.estimate(now, a, view)
 		}
 	}
--- a/internal/quota/loop_test.go
+++ b/internal/quota/loop_test.go
@@ -50,7 +50,7 @@
 func TestOutageSoonAfterTheStart(t *testing.T) {
 	for _, vms := range []int{2, 3, 7} {
 		w := quotaloop.New(faultFreeOptions(1, vms))
-		w.At(2*time.Second, func() { w.SetStore(stopStore) })
+		w.At(2*time.Second, func() { w.ChangeStoreFaults(stopStore) })
 		require.NoError(t, w.Run(40*time.Second))
 		for i := range vms {
 			require.True(t, admits(t, w, quotaloop.VM(i)), "fleet of %d VMs: VM %d refuses a small request during the outage", vms, i)
@@ -63,7 +63,7 @@
 // the service recovers.
 func TestRestartDuringAnOutageBorrows(t *testing.T) {
 	w := quotaloop.New(faultFreeOptions(1, 3))
-	w.At(15*time.Second, func() { w.SetStore(stopStore) })
+	w.At(15*time.Second, func() { w.ChangeStoreFaults(stopStore) })
 	w.At(20*time.Second, func() { w.Restart(quotaloop.VM(1)) })
 	require.NoError(t, w.Run(25*time.Second))
 	require.True(t, admits(t, w, quotaloop.VM(1)))
@@ -74,7 +74,7 @@
 // instead of one.
 func TestFailureDuringAnOutageCostsOneShare(t *testing.T) {
 	w := quotaloop.New(faultFreeOptions(1, 7))
-	w.At(15*time.Second, func() { w.SetStore(stopStore) })
+	w.At(15*time.Second, func() { w.ChangeStoreFaults(stopStore) })
 	w.At(20*time.Second, func() { w.Kill(quotaloop.VM(2)) })
 	require.NoError(t, w.Run(60*time.Second))
 	require.True(t, w.Acquire(quotaloop.VM(5), burst*6/7-1))
--- a/internal/quota/machine.go
+++ b/internal/quota/machine.go
@@ -86,8 +86,8 @@
 	Address string
 	// FailureDomain is its failure domain.
 	FailureDomain string
-	// Heard means that the membership protocol considers the VM alive.
-	Heard bool
+	// Alive means that the membership protocol considers the VM alive.
+	Alive bool
 	// Leaving means that it is shutting down.
 	Leaving bool
 }
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -118,7 +118,7 @@
 }
 
 // Write requests a compare-and-swap of a key whose revision is Expected. The caller
-// answers it with Wrote.
+// answers it with WriteDone.
 type Write struct {
 	Op       uint64
 	Key      string
--- a/internal/quota/ops.go
+++ b/internal/quota/ops.go
@@ -12,7 +12,7 @@
 const (
 	Unknown Outcome = iota
 	TookEffect
-	DidNot
+	NoEffect
 )
 
 // Entry is a key's value at a revision. A key that does not exist has revision
@@ -99,9 +99,9 @@
 	}
 }
 
-// Wrote passes in the result of a Write. current is the entry that conflicted with the
+// WriteDone passes in the result of a Write. current is the entry that conflicted with the
 // write, nil if unknown.
-func (m *Machine) Wrote(now clock.Reading, number uint64, outcome Outcome, revision int64, current *Entry) {
+func (m *Machine) WriteDone(now clock.Reading, number uint64, outcome Outcome, revision int64, current *Entry) {
 	op, open := m.ops[number]
 	if !open {
 		return
--- a/internal/quota/ownrecord.go
+++ b/internal/quota/ownrecord.go
@@ -324,7 +324,7 @@
 func (m *Machine) witnessCandidates() []Peer {
 	var candidates []Peer
 	for vm, p := range m.peers {
-		if p.Heard && !p.Leaving && m.isHolderVM(vm) {
+		if p.Alive && !p.Leaving && m.isHolderVM(vm) {
 			candidates = append(candidates, p)
 		}
 	}
--- a/internal/quota/quotaloop/quotameasure/cost.go
+++ b/internal/quota/quotaloop/quotameasure/cost.go
@@ -94,7 +94,7 @@
 		return err
 	}
 	w.At(w.Now, arrive)
-	sent, calls, used := w.MessagesSent, w.Calls, processorTime()
+	sent, calls, used := w.MessagesSent, w.StoreCalls, processorTime()
 	bytes = 0
 	batches = 0
 	clear(kinds)
@@ -106,7 +106,7 @@
 	memory := float64(heapBytes()-before) / float64(vms) / 1024
 	fmt.Printf("| %d | %.1f | %.1f | %.2f KB/s | %.3f%% | %.0f KB | %.1f | %s | %v | %v |\n", vms,
 		float64(w.MessagesSent-sent)/perVM, float64(batches)/perVM, float64(bytes)/perVM/1000, 100*used.Seconds()/perVM, memory,
-		float64(w.Calls-calls)/costDuration.Seconds(), percent(refused, requests), causes, kinds)
+		float64(w.StoreCalls-calls)/costDuration.Seconds(), percent(refused, requests), causes, kinds)
 	runtime.KeepAlive(w)
 	return nil
 }
--- a/internal/quota/quotaloop/quotameasure/refusals.go
+++ b/internal/quota/quotaloop/quotameasure/refusals.go
@@ -61,7 +61,7 @@
 func noFault(*quotaloop.World) {}
 
 func storeOutage(w *quotaloop.World) {
-	w.At(warmUp, func() { w.SetStore(func(f *quotaloop.StoreFaults) { f.Down = true }) })
+	w.At(warmUp, func() { w.ChangeStoreFaults(func(f *quotaloop.StoreFaults) { f.Down = true }) })
 }
 
 func killedVM(w *quotaloop.World) {
--- a/internal/quota/quotaloop/store.go
+++ b/internal/quota/quotaloop/store.go
@@ -9,7 +9,7 @@
 // handleRead answers a Read. If there is no answer within storeTimeout it reports that
 // to the machine.
 func (w *World) handleRead(n *node, r quota.Read) {
-	w.Calls++
+	w.StoreCalls++
 	answered := false
 	w.sendToStore(n, func() {
 		entry := w.store[r.Key]
@@ -33,19 +33,19 @@
 // handleWrite answers a Write, with quota.Unknown if there is no answer within
 // storeTimeout. The write may still take effect after that.
 func (w *World) handleWrite(n *node, c quota.Write) {
-	w.Calls++
+	w.StoreCalls++
 	answered := false
 	answer := func(outcome quota.Outcome, revision int64, current *quota.Entry) {
 		if answered {
 			return
 		}
 		answered = true
-		w.runStep(n, func() { n.machine.Wrote(w.clockReading(n), c.Op, outcome, revision, current) })
+		w.runStep(n, func() { n.machine.WriteDone(w.clockReading(n), c.Op, outcome, revision, current) })
 	}
 	w.sendToStore(n, func() {
 		current := w.store[c.Key]
 		if current.Revision != c.Expected {
-			w.replyFromStore(func() { answer(quota.DidNot, 0, &current) })
+			w.replyFromStore(func() { answer(quota.NoEffect, 0, &current) })
 			return
 		}
 		w.lastRevision++
@@ -174,44 +174,44 @@
 	}
 }
 
-// SetWall shifts a VM's wall clock by a further duration.
-func (w *World) SetWall(vm string, by time.Duration) {
+// ShiftWallClock shifts a VM's wall clock by a further duration.
+func (w *World) ShiftWallClock(vm string, by time.Duration) {
 	w.currentNodes[vm].wallOffset += by
 }
 
-// Cut drops messages from one VM to another until Mend.
-func (w *World) Cut(from, to string) { w.cutLinks[[2]string{from, to}] = true }
+// CutLink drops messages from one VM to another until RestoreLink.
+func (w *World) CutLink(from, to string) { w.cutLinks[[2]string{from, to}] = true }
 
-// Mend ends a Cut, so that messages from one VM to the other arrive again.
-func (w *World) Mend(from, to string) { delete(w.cutLinks, [2]string{from, to}) }
+// RestoreLink ends a CutLink, so that messages from one VM to the other arrive again.
+func (w *World) RestoreLink(from, to string) { delete(w.cutLinks, [2]string{from, to}) }
 
-// Isolate cuts a VM off from the key-value service until RejoinStore, and if all is
-// set also from the other VMs until RejoinPeers.
+// Isolate cuts a VM off from the key-value service until ReconnectStore, and if all is
+// set also from the other VMs until ReconnectPeers.
 func (w *World) Isolate(vm string, all bool) {
 	w.cutFromStore[vm] = true
 	for other := range w.currentNodes {
 		if all {
-			w.Cut(vm, other)
-			w.Cut(other, vm)
+			w.CutLink(vm, other)
+			w.CutLink(other, vm)
 		}
 	}
 }
 
-// RejoinPeers restores the messages between a VM and the others in both directions.
-func (w *World) RejoinPeers(vm string) {
+// ReconnectPeers restores the messages between a VM and the others in both directions.
+func (w *World) ReconnectPeers(vm string) {
 	for other := range w.currentNodes {
-		w.Mend(vm, other)
-		w.Mend(other, vm)
+		w.RestoreLink(vm, other)
+		w.RestoreLink(other, vm)
 	}
 }
 
-// RejoinStore reconnects a VM to the key-value service.
-func (w *World) RejoinStore(vm string) {
+// ReconnectStore reconnects a VM to the key-value service.
+func (w *World) ReconnectStore(vm string) {
 	delete(w.cutFromStore, vm)
 }
 
-// SetStore changes the faults of the key-value service.
-func (w *World) SetStore(change func(f *StoreFaults)) { change(&w.Store) }
+// ChangeStoreFaults changes the faults of the key-value service.
+func (w *World) ChangeStoreFaults(change func(f *StoreFaults)) { change(&w.Store) }
 
 // Leave starts a graceful shutdown of a VM's process.
 func (w *World) Leave(vm string) {
--- a/internal/quota/quotaloop/world.go
+++ b/internal/quota/quotaloop/world.go
@@ -37,8 +37,8 @@
 	Config quota.Config
 	// Tick is the time between a machine's ticks. The default is 10ms.
 	Tick time.Duration
-	// Hook is called with every new machine before its first step. It may be nil.
-	Hook func(m *quota.Machine)
+	// OnNewMachine is called with every new machine before its first step. It may be nil.
+	OnNewMachine func(m *quota.Machine)
 }
 
 // NetworkFaults configures delay, loss and duplication of messages.
@@ -125,8 +125,8 @@
 	lastNumber   uint64
 	violations   []error
 
-	// MessagesSent counts messages, Calls calls to the key-value service.
-	MessagesSent, Calls int64
+	// MessagesSent counts messages, StoreCalls calls to the key-value service.
+	MessagesSent, StoreCalls int64
 	// Verdicts counts the requests by cause of refusal, with "" for admitted ones.
 	// Tokens sums their sizes in the same way.
 	Verdicts map[quota.Cause]int64
@@ -216,8 +216,8 @@
 	cfg.Address = vm
 	cfg.FailureDomain = domain
 	n.machine = quota.New(w.clockReading(n), cfg)
-	if w.Hook != nil {
-		w.Hook(n.machine)
+	if w.OnNewMachine != nil {
+		w.OnNewMachine(n.machine)
 	}
 	n.machine.SetLimits(w.clockReading(n), w.version, w.limits)
 	w.nodes = append(w.nodes, n)
@@ -295,7 +295,7 @@
 			continue
 		}
 		heard := p.alive && w.Now-p.lastTickAt < silenceTimeout && !w.cutLinks[[2]string{vm, n.vm}]
-		peers = append(peers, quota.Peer{Holder: p.machine.Self(), Address: vm, FailureDomain: p.domain, Heard: heard})
+		peers = append(peers, quota.Peer{Holder: p.machine.Self(), Address: vm, FailureDomain: p.domain, Alive: heard})
 	}
 	return peers
 }
--- a/internal/quota/succession.go
+++ b/internal/quota/succession.go
@@ -38,7 +38,7 @@
 		return h.Incarnation != m.cfg.Self.Incarnation
 	}
 	p, known := m.peers[h.VM]
-	return !known || !p.Heard || p.Incarnation > h.Incarnation
+	return !known || !p.Alive || p.Incarnation > h.Incarnation
 }
 
 // recordPollTick reads the records of holders that are suspected to have ended.
@@ -184,7 +184,7 @@
 // consent certainly did not and will not take effect, because a later revision of the
 // record exists without it.
 func (m *Machine) onConsentWritten(op operation, outcome Outcome, current *Entry) {
-	if outcome != DidNot || current == nil || current.Revision <= op.expected {
+	if outcome != NoEffect || current == nil || current.Revision <= op.expected {
 		return
 	}
 	record, err := decode[Record](current.Value)
--- a/internal/ratelimit/leases_test.go
+++ b/internal/ratelimit/leases_test.go
@@ -109,7 +109,7 @@
 	for _, l := range fleet {
 		require.Eventually(t, admitted(l), waitTimeout, pollInterval)
 	}
-	store.Change(func(f *kvtest.Faults) { f.Outage = true })
+	store.UpdateFaults(func(f *kvtest.Faults) { f.Outage = true })
 	time.Sleep(2 * testTerm)
 	for _, l := range fleet {
 		require.Eventually(t, admitted(l), waitTimeout, pollInterval)
--- a/internal/ratelimit/run.go
+++ b/internal/ratelimit/run.go
@@ -87,7 +87,7 @@
 			Holder:        quota.Holder{VM: m.VM, Incarnation: incarnation},
 			Address:       m.PeerAddress,
 			FailureDomain: m.FailureDomain,
-			Heard:         m.Status == membership.Heard,
+			Alive:         m.Status == membership.Alive,
 			Leaving:       m.Leaving,
 		})
 	}
@@ -108,7 +108,7 @@
 		case quota.Read:
 			l.startCall(func() { l.readRecord(a) }, func(now clock.Reading) { l.machine.ReadDone(now, a.Op, nil) })
 		case quota.Write:
-			l.startCall(func() { l.writeRecord(a) }, func(now clock.Reading) { l.machine.Wrote(now, a.Op, quota.Unknown, 0, nil) })
+			l.startCall(func() { l.writeRecord(a) }, func(now clock.Reading) { l.machine.WriteDone(now, a.Op, quota.Unknown, 0, nil) })
 		case quota.Send:
 			l.addToBatch(batches, a)
 		}
@@ -194,14 +194,14 @@
 		l.options.Log.Debug().Err(err).Str("key", w.Key).Msg("quota record write failed; outcome unknown")
 	case result.Outcome == kv.TookEffect:
 		outcome = quota.TookEffect
-	case result.Outcome == kv.DidNot:
-		outcome = quota.DidNot
+	case result.Outcome == kv.NoEffect:
+		outcome = quota.NoEffect
 	}
 	var current *quota.Entry
 	if result.Current != nil {
 		current = &quota.Entry{Value: result.Current.Value, Revision: result.Current.Revision}
 	}
-	_ = l.post(l.ctx, func(now clock.Reading) { l.machine.Wrote(now, w.Op, outcome, result.Revision, current) })
+	_ = l.post(l.ctx, func(now clock.Reading) { l.machine.WriteDone(now, w.Op, outcome, result.Revision, current) })
 }
 
 // watchAssignment delivers changes of the assignment to the state machine. The state
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -23,9 +23,9 @@
 	Pool *peer.Pool
 	// Address returns a VM's peer address, or "" if it has none.
 	Address func(vm string) string
-	// For is how long a failing call is retried. It is the grace period of the
+	// RetryTimeout is how long a failing call is retried. It is the grace period of the
 	// VMs: after that the stream has been stopped, or its VM is gone.
-	For time.Duration
+	RetryTimeout time.Duration
 }
 
 // Release asks a VM in the background to release a stream, and retries until the call
@@ -33,7 +33,7 @@
 // cannot stop the stream either.
 func (r Releaser) Release(vm, streamID string) {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), r.For)
+		ctx, cancel := context.WithTimeout(context.Background(), r.RetryTimeout)
 		defer cancel()
 		for ctx.Err() == nil && !r.call(ctx, vm, streamID) {
 			select {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -59,8 +59,8 @@
 	return r.sessions.release(streamID)
 }
 
-// Place identifies the engine that generates a stream.
-type Place struct {
+// Location identifies the engine that generates a stream.
+type Location struct {
 	// Engine is the engine's name.
 	Engine string
 	// URL is the engine's base address.
@@ -71,7 +71,7 @@
 // goroutine.
 type Sink interface {
 	// Attach reports which engine generates the events that follow.
-	Attach(p Place) error
+	Attach(p Location) error
 	// Event passes on one event. An error means that the caller has disconnected.
 	Event(e engine.Event) error
 }
@@ -89,8 +89,8 @@
 	Body []byte
 	// PromptTokens is the cost of processing the prompt, in tokens.
 	PromptTokens int64
-	// At is the engine that generates the stream, if only its rest is requested.
-	At Place
+	// Location is the engine that generates the stream, if only its rest is requested.
+	Location Location
 	// AfterID is the ID of the last event that the caller has received, or 0.
 	AfterID int64
 	// Acquire waits for an engine. The engines in avoid have failed the job.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -145,7 +145,7 @@
 var errCallerGone = errors.New("gone")
 
 // Attach implements Sink.
-func (*recordingSink) Attach(Place) error { return nil }
+func (*recordingSink) Attach(Location) error { return nil }
 
 // Event implements Sink.
 func (r *recordingSink) Event(e engine.Event) error {
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -32,7 +32,7 @@
 	session    *session
 	graceOnce  sync.Once
 	grant      *dispatch.Grant
-	location   Place
+	location   Location
 	avoid      []string
 	lastID     int64
 	callerGone bool
@@ -40,7 +40,7 @@
 }
 
 func newRun(r *Relay, caller context.Context, j Job, sink Sink) *run {
-	x := &run{relay: r, job: j, sink: sink, recovery: resume.NewRecovery(r.options.Recovery), callerCtx: caller, location: j.At, lastID: j.AfterID}
+	x := &run{relay: r, job: j, sink: sink, recovery: resume.NewRecovery(r.options.Recovery), callerCtx: caller, location: j.Location, lastID: j.AfterID}
 	detached := context.WithoutCancel(caller)
 	stop := func() {}
 	if deadline, ok := caller.Deadline(); ok {
@@ -139,7 +139,7 @@
 		return nil, &acquireError{err}
 	}
 	x.grant = grant
-	x.location = Place{Engine: grant.Upstream.Name, URL: grant.Upstream.URL}
+	x.location = Location{Engine: grant.Upstream.Name, URL: grant.Upstream.URL}
 	stream, err := x.relay.options.Engines.Complete(x.ctx, engine.Request{
 		BaseURL: x.location.URL, Path: x.job.Path, RequestID: x.job.StreamID,
 		Priority: x.job.Priority, Body: x.job.Body, AfterID: x.lastID,
--- a/internal/resume/token.go
+++ b/internal/resume/token.go
@@ -15,11 +15,11 @@
 	ErrMalformed = errors.New("resume: malformed token")
 	// ErrBadSignature means that the token is not signed with an accepted secret.
 	ErrBadSignature = errors.New("resume: token not signed by an accepted secret")
-	// ErrForeign means that the token belongs to another team.
-	ErrForeign = errors.New("resume: token of another team")
+	// ErrWrongTeam means that the token belongs to another team.
+	ErrWrongTeam = errors.New("resume: token of another team")
 	// ErrWeakSecret means that a secret is shorter than MinSecretBytes.
 	ErrWeakSecret = errors.New("resume: secret too short")
-	// ErrNoSecret means that no secret was passed to NewRing.
+	// ErrNoSecret means that no secret was passed to NewKeyring.
 	ErrNoSecret = errors.New("resume: no secret given")
 )
 
@@ -52,16 +52,16 @@
 	Offset int64
 }
 
-// Ring is a keyring of the signing secrets. It is immutable and safe for concurrent
+// Keyring is a keyring of the signing secrets. It is immutable and safe for concurrent
 // use.
-type Ring struct {
+type Keyring struct {
 	secrets [][]byte
 }
 
-// NewRing returns a keyring that signs with the first secret and accepts tokens signed
+// NewKeyring returns a keyring that signs with the first secret and accepts tokens signed
 // with any of them. To rotate, append the new secret on every VM, then move it to the
 // front, then remove the old one. Errors are ErrNoSecret and ErrWeakSecret.
-func NewRing(secrets ...[]byte) (*Ring, error) {
+func NewKeyring(secrets ...[]byte) (*Keyring, error) {
 	if len(secrets) == 0 {
 		return nil, ErrNoSecret
 	}
@@ -70,7 +70,7 @@
 			return nil, ErrWeakSecret
 		}
 	}
-	return &Ring{secrets: secrets}, nil
+	return &Keyring{secrets: secrets}, nil
 }
 
 // Signer creates the tokens of one stream. It is not safe for concurrent use.
@@ -82,7 +82,7 @@
 
 // Signer returns a signer for the stream of a token; the token's offset is ignored.
 // Names longer than 200 bytes are rejected with ErrMalformed.
-func (r *Ring) Signer(t Token) (*Signer, error) {
+func (r *Keyring) Signer(t Token) (*Signer, error) {
 	prefix := []byte{tokenFormat}
 	for _, field := range []string{t.Team, t.VM, t.Engine, t.Stream} {
 		if len(field) > maxFieldBytes {
@@ -107,8 +107,8 @@
 }
 
 // Open decodes and verifies the token in an event ID that a caller of the team sent
-// back. Errors are ErrMalformed, ErrBadSignature and ErrForeign.
-func (r *Ring) Open(id, team string) (Token, error) {
+// back. Errors are ErrMalformed, ErrBadSignature and ErrWrongTeam.
+func (r *Keyring) Open(id, team string) (Token, error) {
 	if len(id) > MaxTokenBytes {
 		return Token{}, ErrMalformed
 	}
@@ -125,12 +125,12 @@
 		return Token{}, err
 	}
 	if token.Team != team {
-		return Token{}, ErrForeign
+		return Token{}, ErrWrongTeam
 	}
 	return token, nil
 }
 
-func (r *Ring) verify(message, tag []byte) bool {
+func (r *Keyring) verify(message, tag []byte) bool {
 	for _, secret := range r.secrets {
 		mac := hmac.New(sha256.New, secret)
 		mac.Write(message)
--- a/internal/resume/token_test.go
+++ b/internal/resume/token_test.go
@@ -20,17 +20,17 @@
 
 func secret(b byte) []byte { return bytes.Repeat([]byte{b}, MinSecretBytes) }
 
-func newTestKeyring(t require.TestingT, secrets ...byte) *Ring {
+func newTestKeyring(t require.TestingT, secrets ...byte) *Keyring {
 	var all [][]byte
 	for _, b := range secrets {
 		all = append(all, secret(b))
 	}
-	r, err := NewRing(all...)
+	r, err := NewKeyring(all...)
 	require.NoError(t, err)
 	return r
 }
 
-func sign(t require.TestingT, r *Ring, token Token) string {
+func sign(t require.TestingT, r *Keyring, token Token) string {
 	s, err := r.Signer(token)
 	require.NoError(t, err)
 	_ = s.Append(nil, 1)
@@ -74,7 +74,7 @@
 		token := tokens().Draw(t, "token")
 		id := sign(t, r, token)
 		_, err := r.Open(id, token.Team+"x")
-		require.ErrorIs(t, err, ErrForeign)
+		require.ErrorIs(t, err, ErrWrongTeam)
 		changed := []byte(id)
 		at := rapid.IntRange(0, len(id)-1).Draw(t, "at")
 		changed[at] = rapid.SampledFrom([]byte("ABCabc019_-")).Draw(t, "character")
@@ -87,9 +87,9 @@
 }
 
 func TestSecretsAreChecked(t *testing.T) {
-	_, err := NewRing()
+	_, err := NewKeyring()
 	require.ErrorIs(t, err, ErrNoSecret)
-	_, err = NewRing(secret('a'), []byte("short"))
+	_, err = NewKeyring(secret('a'), []byte("short"))
 	require.ErrorIs(t, err, ErrWeakSecret)
 }
 
--- a/internal/route/parts.go
+++ b/internal/route/parts.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Parts holds this VM's shares of fleet-wide limits, such as the limit on an
+// LimitShares holds this VM's shares of fleet-wide limits, such as the limit on an
 // adapter's requests in flight. Each VM has an equal share, so that no coordination
 // is needed while demand is spread evenly; a VM that runs short borrows from others
 // for a limited time. The shares of all VMs add up to no more than the limit as long
-// as the VMs agree on the fleet's members. Parts is not safe for concurrent use.
-type Parts struct {
+// as the VMs agree on the fleet's members. LimitShares is not safe for concurrent use.
+type LimitShares struct {
 	vms, rank int
 	lent      map[Item][]loan
 	borrowed  map[Item][]loan
@@ -19,23 +19,23 @@
 	until time.Time
 }
 
-// LoanLife is the lifetime of a loan by the clocks of both sides. The borrower
+// LoanLifetime is the lifetime of a loan by the clocks of both sides. The borrower
 // counts from before it sent its request, the lender from when it granted the loan.
-const LoanLife = 2 * time.Second
+const LoanLifetime = 2 * time.Second
 
-// NewParts returns the shares of a VM that is alone in the fleet.
-func NewParts() *Parts {
-	return &Parts{vms: 1, lent: make(map[Item][]loan), borrowed: make(map[Item][]loan)}
+// NewLimitShares returns the shares of a VM that is alone in the fleet.
+func NewLimitShares() *LimitShares {
+	return &LimitShares{vms: 1, lent: make(map[Item][]loan), borrowed: make(map[Item][]loan)}
 }
 
 // SetFleet sets the number of VMs and this VM's rank in their order, from 0.
-func (p *Parts) SetFleet(vms, rank int) {
+func (p *LimitShares) SetFleet(vms, rank int) {
 	p.vms, p.rank = max(1, vms), rank
 }
 
-// Part returns how much of a limit this VM may use now. 0 means none of it: callers
+// Share returns how much of a limit this VM may use now. 0 means none of it: callers
 // must handle items without a limit themselves.
-func (p *Parts) Part(i Item, limit int, now time.Time) int {
+func (p *LimitShares) Share(i Item, limit int, now time.Time) int {
 	share := limit / p.vms
 	if p.rank < limit%p.vms {
 		share++
@@ -45,21 +45,21 @@
 
 // Lend lends half of this VM's unused share, rounded up, to another VM, but no more
 // than want, and returns the number of slots lent.
-func (p *Parts) Lend(i Item, limit, inUse, want int, now time.Time) int {
-	spare := p.Part(i, limit, now) - inUse
+func (p *LimitShares) Lend(i Item, limit, inUse, want int, now time.Time) int {
+	spare := p.Share(i, limit, now) - inUse
 	n := min(want, (spare+1)/2)
 	if n <= 0 {
 		return 0
 	}
-	p.lent[i] = append(p.lent[i], loan{slots: n, until: now.Add(LoanLife)})
+	p.lent[i] = append(p.lent[i], loan{slots: n, until: now.Add(LoanLifetime)})
 	return n
 }
 
-// Took records a loan of n slots from another VM. asked is when the request for it
+// RecordLoan records a loan of n slots from another VM. asked is when the request for it
 // was sent.
-func (p *Parts) Took(i Item, n int, asked time.Time) {
+func (p *LimitShares) RecordLoan(i Item, n int, asked time.Time) {
 	if n > 0 {
-		p.borrowed[i] = append(p.borrowed[i], loan{slots: n, until: asked.Add(LoanLife)})
+		p.borrowed[i] = append(p.borrowed[i], loan{slots: n, until: asked.Add(LoanLifetime)})
 	}
 }
 
--- a/internal/route/parts_test.go
+++ b/internal/route/parts_test.go
@@ -24,9 +24,9 @@
 		vms := rapid.IntRange(1, 5).Draw(t, "VMs")
 		limit := rapid.IntRange(0, 20).Draw(t, "limit")
 		now := start
-		shares := make([]*Parts, vms)
+		shares := make([]*LimitShares, vms)
 		for i := range shares {
-			shares[i] = NewParts()
+			shares[i] = NewLimitShares()
 			shares[i].SetFleet(vms, i)
 		}
 		var pending []pendingLoan
@@ -35,7 +35,7 @@
 			"": func(*rapid.T) {
 				total := 0
 				for _, p := range shares {
-					total += p.Part(adapterItem, limit, now)
+					total += p.Share(adapterItem, limit, now)
 				}
 				require.LessOrEqual(o, total, limit, "the VMs' shares add up to more than the limit")
 			},
@@ -59,7 +59,7 @@
 				if countFromAnswer {
 					l.asked = now
 				}
-				shares[l.borrower].Took(adapterItem, l.n, l.asked)
+				shares[l.borrower].RecordLoan(adapterItem, l.n, l.asked)
 			},
 			"lose": func(*rapid.T) { pending = nil },
 			"wait": func(t *rapid.T) {
@@ -86,16 +86,16 @@
 // whole limit instead of being held to its own share.
 func TestOneVMCanBorrowNearlyWholeLimit(t *testing.T) {
 	const vms, limit = 7, 60
-	shares := make([]*Parts, vms)
+	shares := make([]*LimitShares, vms)
 	for i := range shares {
-		shares[i] = NewParts()
+		shares[i] = NewLimitShares()
 		shares[i].SetFleet(vms, i)
 	}
 	for range 4 {
 		for lender := 1; lender < vms; lender++ {
-			shares[0].Took(adapterItem, shares[lender].Lend(adapterItem, limit, 0, limit, start), start)
+			shares[0].RecordLoan(adapterItem, shares[lender].Lend(adapterItem, limit, 0, limit, start), start)
 		}
 	}
-	require.GreaterOrEqual(t, shares[0].Part(adapterItem, limit, start), 54)
-	require.Equal(t, 9, shares[0].Part(adapterItem, limit, start.Add(LoanLife)))
+	require.GreaterOrEqual(t, shares[0].Share(adapterItem, limit, start), 54)
+	require.Equal(t, 9, shares[0].Share(adapterItem, limit, start.Add(LoanLifetime)))
 }
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -15,8 +15,8 @@
 	ErrNoReplica = errors.New("route: no engine that accepts requests serves the requested item")
 	// ErrBusy means that every engine with the item is at capacity.
 	ErrBusy = errors.New("route: every engine that serves the requested item is at capacity")
-	// ErrPartUsed means that this VM's share of the item's limit is used up.
-	ErrPartUsed = errors.New("route: this VM's share of the item's in-flight limit is used up")
+	// ErrShareUsed means that this VM's share of the item's limit is used up.
+	ErrShareUsed = errors.New("route: this VM's share of the item's in-flight limit is used up")
 )
 
 // Router selects engines for requests. It is not safe for concurrent use.
@@ -81,9 +81,9 @@
 	}
 }
 
-// SetSpread sets the ratio of all VMs' dispatches to this VM's dispatches, as
+// SetFleetMultiplier sets the ratio of all VMs' dispatches to this VM's dispatches, as
 // derived from heartbeats. Values below 1 count as 1.
-func (r *Router) SetSpread(multiplier float64) {
+func (r *Router) SetFleetMultiplier(multiplier float64) {
 	r.fleetMultiplier = max(1, multiplier)
 }
 
@@ -114,14 +114,14 @@
 }
 
 // Available returns nil if Pick would find an engine for the request now, and
-// otherwise ErrNoReplica, ErrBusy or ErrPartUsed. It draws no random numbers.
+// otherwise ErrNoReplica, ErrBusy or ErrShareUsed. It draws no random numbers.
 func (r *Router) Available(q Request, now time.Time) error {
 	_, err := r.available(q, now)
 	return err
 }
 
 // Pick returns the engine for a request. The caller must then pass the engine to
-// Started. Pick returns ErrNoReplica, ErrBusy or ErrPartUsed if there is none. Equal
+// Started. Pick returns ErrNoReplica, ErrBusy or ErrShareUsed if there is none. Equal
 // random numbers give equal results.
 func (r *Router) Pick(q Request, now time.Time, rng *rand.Rand) (Engine, error) {
 	free, err := r.available(q, now)
@@ -138,7 +138,7 @@
 		return nil, ErrNoReplica
 	}
 	if q.Limited && r.adapterInFlight[q.Item] >= q.MaxInFlight && !r.faults.ignorePart {
-		return nil, ErrPartUsed
+		return nil, ErrShareUsed
 	}
 	free := slices.DeleteFunc(candidates, r.atCapacity)
 	if len(free) == 0 {
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -43,8 +43,8 @@
 	droppedRoutine, droppedReserved atomic.Int64
 }
 
-// NewBounded returns a writer that queues lines and writes nothing until Run is called.
-func NewBounded(out io.Writer) *BoundedWriter {
+// NewBoundedWriter returns a writer that queues lines and writes nothing until Run is called.
+func NewBoundedWriter(out io.Writer) *BoundedWriter {
 	b := &BoundedWriter{out: out, routine: make(chan []byte, routineQueueLines), reserved: make(chan []byte, reservedQueueLines)}
 	b.routineBudget.Store(routineLinesPerSecond)
 	return b
