--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -19,7 +19,7 @@
 func TestFullPipeDoesNotBlockLogging(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	require.NoError(t, err)
-	b := NewBounded(writer)
+	b := NewBoundedWriter(writer)
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	wg.Go(func() { b.Run(ctx) })
@@ -41,7 +41,7 @@
 // admits. The one failure among them must still be in the log.
 func TestRoutineLinesDoNotDisplaceWarnings(t *testing.T) {
 	var out bytes.Buffer
-	b := NewBounded(&out)
+	b := NewBoundedWriter(&out)
 	log := zerolog.New(b)
 	for range 10 * routineLinesPerSecond {
 		log.Info().Str("outcome", "answered").Send()
@@ -58,7 +58,7 @@
 }
 
 func BenchmarkBoundedLine(b *testing.B) {
-	w := NewBounded(new(bytes.Buffer))
+	w := NewBoundedWriter(new(bytes.Buffer))
 	log := zerolog.New(w)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/trafficmeasure/claims.go
+++ b/internal/trafficmeasure/claims.go
@@ -87,9 +87,9 @@
 // preload reads a shard before the first operation on it, as a VM does when it
 // starts.
 func (w *claimSimulation) preload(c *shardClient) {
-	for call := c.log.Load(); call != nil; call = c.log.Load() {
+	for call := c.log.NextRead(); call != nil; call = c.log.NextRead() {
 		segment := w.segments[c.shard][call.Slot]
-		c.log.Read(call.Slot, segment.revision, segment.value)
+		c.log.ReadDone(call.Slot, segment.revision, segment.value)
 	}
 }
 
@@ -150,18 +150,18 @@
 	segment := &w.segments[c.shard][call.Slot]
 	if !call.Swap {
 		w.result.reads++
-		w.applyVerdicts(c, c.log.Read(call.Slot, segment.revision, segment.value), now)
+		w.applyVerdicts(c, c.log.ReadDone(call.Slot, segment.revision, segment.value), now)
 		return
 	}
 	w.result.writes++
 	if segment.revision != call.Expected {
 		w.result.conflicts++
-		w.applyVerdicts(c, c.log.Swapped(call.Slot, claim.DidNot, 0), now)
+		w.applyVerdicts(c, c.log.SwapDone(call.Slot, claim.NoEffect, 0), now)
 		return
 	}
 	w.revision++
 	*segment = storedSegment{revision: w.revision, value: call.Value}
-	w.applyVerdicts(c, c.log.Swapped(call.Slot, claim.TookEffect, w.revision), now)
+	w.applyVerdicts(c, c.log.SwapDone(call.Slot, claim.TookEffect, w.revision), now)
 }
 
 func runClaims(vms int, perSecond float64, preferred bool) *claimResult {
--- a/internal/trafficmeasure/flashcrowd.go
+++ b/internal/trafficmeasure/flashcrowd.go
@@ -93,7 +93,7 @@
 func reportLoads(books []*address.Book, reportedLoads []int, now time.Time) {
 	vms := make([]address.VM, len(reportedLoads))
 	for i := range vms {
-		vms[i] = address.VM{Name: vmName(i), Ready: true, Capacity: vmCapacity, InFlight: int64(reportedLoads[i]), HeardAt: now}
+		vms[i] = address.VM{Name: vmName(i), Ready: true, Capacity: vmCapacity, InFlight: int64(reportedLoads[i]), LastHeartbeat: now}
 	}
 	for _, b := range books {
 		b.SetVMs(vms)
--- a/internal/trafficmeasure/routing.go
+++ b/internal/trafficmeasure/routing.go
@@ -113,7 +113,7 @@
 	}
 	for _, r := range w.routers {
 		r.SetFleet(w.fleet)
-		r.SetSpread(entryVMCount)
+		r.SetFleetMultiplier(entryVMCount)
 	}
 }
 
--- a/internal/transport/hosts.go
+++ b/internal/transport/hosts.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// Hosts is an http.RoundTripper with a separate transport for each host, so that
+// PerHostTransport is an http.RoundTripper with a separate transport for each host, so that
 // the idle connections to one host can be closed without affecting the others. It
 // is safe for concurrent use.
-type Hosts struct {
+type PerHostTransport struct {
 	limits Limits
 	pool   Pool
 	tls    TLS
@@ -17,17 +17,17 @@
 	hosts map[string]*http.Transport
 }
 
-// NewHosts returns a Hosts without transports. They are created on first use.
-func NewHosts(l Limits, p Pool, tlsConfig TLS) *Hosts {
-	return &Hosts{limits: l, pool: p, tls: tlsConfig, hosts: make(map[string]*http.Transport)}
+// NewPerHostTransport returns a PerHostTransport without transports. They are created on first use.
+func NewPerHostTransport(l Limits, p Pool, tlsConfig TLS) *PerHostTransport {
+	return &PerHostTransport{limits: l, pool: p, tls: tlsConfig, hosts: make(map[string]*http.Transport)}
 }
 
 // RoundTrip implements http.RoundTripper.
-func (h *Hosts) RoundTrip(r *http.Request) (*http.Response, error) {
+func (h *PerHostTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	return h.transportFor(r.URL.Host).RoundTrip(r)
 }
 
-func (h *Hosts) transportFor(name string) *http.Transport {
+func (h *PerHostTransport) transportFor(name string) *http.Transport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	t := h.hosts[name]
@@ -41,7 +41,7 @@
 // CloseIdle closes the idle connections to a host. If one connection to it has
 // become unresponsive, others over the same network path may have too, and a
 // request on one of them would wait for its whole idle timeout.
-func (h *Hosts) CloseIdle(name string) {
+func (h *PerHostTransport) CloseIdle(name string) {
 	h.mu.Lock()
 	t := h.hosts[name]
 	h.mu.Unlock()
@@ -52,7 +52,7 @@
 
 // RetainOnly removes the transports of the hosts that are not in names, and closes
 // their idle connections.
-func (h *Hosts) RetainOnly(names map[string]bool) {
+func (h *PerHostTransport) RetainOnly(names map[string]bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for name, t := range h.hosts {
@@ -64,6 +64,6 @@
 }
 
 // Close removes all transports and closes their idle connections.
-func (h *Hosts) Close() {
+func (h *PerHostTransport) Close() {
 	h.RetainOnly(nil)
 }
--- a/internal/transport/idle_test.go
+++ b/internal/transport/idle_test.go
@@ -16,7 +16,7 @@
 // every retry would start from the beginning and never complete.
 func TestIdleTimeoutAllowsTransferWithProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, idle := WithIdle(t.Context(), idleLimit, idleLimit)
+		ctx, idle := WithIdleTimeout(t.Context(), idleLimit, idleLimit)
 		defer idle.Stop()
 		r, w := io.Pipe()
 		go func() {
@@ -36,13 +36,13 @@
 // The peer stops sending in the middle of a transfer, without a reset.
 func TestIdleTimeoutEndsStalledTransfer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, idle := WithIdle(t.Context(), 3*idleLimit, idleLimit)
+		ctx, idle := WithIdleTimeout(t.Context(), 3*idleLimit, idleLimit)
 		defer idle.Stop()
 		time.Sleep(2 * idleLimit)
 		idle.Received()
 		start := time.Now()
 		<-ctx.Done()
 		require.Equal(t, idleLimit, time.Since(start))
-		require.ErrorIs(t, context.Cause(ctx), ErrIdle)
+		require.ErrorIs(t, context.Cause(ctx), ErrIdleTimeout)
 	})
 }
--- a/internal/vmlist/client.go
+++ b/internal/vmlist/client.go
@@ -36,7 +36,7 @@
 
 // Read returns the platform's list. Errors wrap ErrUnavailable.
 func (c *Client) Read(ctx context.Context) (*List, error) {
-	ctx, idle := transport.WithIdle(ctx, callTimeout, callTimeout)
+	ctx, idle := transport.WithIdleTimeout(ctx, callTimeout, callTimeout)
 	defer idle.Stop()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.URL+"/v1/vms", nil)
 	if err != nil {
