--- a/test/soak/callers_test.go
+++ b/test/soak/callers_test.go
@@ -11,7 +11,7 @@
 	"github.com/chestnutarch/chestnutarch/platform/standin"
 )
 
-// kind is a route of the configuration.
+// kind is a kind of request. Each kind has a route of the same name in the configuration.
 type kind string
 
 const (
@@ -21,12 +21,13 @@
 	look  kind = "look"
 )
 
-// once says that a request of the kind must not run twice.
-func (k kind) once() bool { return k == chat || k == file }
+// atMostOnce reports whether a request of the kind must not run twice.
+func (k kind) atMostOnce() bool { return k == chat || k == file }
 
+// streams reports whether the answer to a request of the kind is a stream of events.
 func (k kind) streams() bool { return k == chat || k == draft }
 
-// attempt is one request with everything that its caller saw.
+// attempt is one request and its result as the caller observed it.
 type attempt struct {
 	standin.Call
 	kind   kind
@@ -35,76 +36,78 @@
 	sent   time.Time
 	ended  time.Time
 	answer standin.Answer
-	// quiet says that nothing but planned work was going on.
-	quiet bool
+	// onlyPlannedStops says that the request was sent while there were no faults, only
+	// planned restarts.
+	onlyPlannedStops bool
 }
 
 const (
-	// callers is how many ask at a time, each with connections of its own.
-	callers = 10
-	// resolveEvery is how long a caller keeps an answer of the directory.
-	resolveEvery = 2 * time.Second
+	// callerCount is the number of concurrent callers. Each has its own connections.
+	callerCount = 10
+	// resolveInterval is how long a caller uses an answer of the directory.
+	resolveInterval = 2 * time.Second
 )
 
-// load is callers that ask until they are stopped.
+// load is a set of callers that send requests until they are stopped.
 type load struct {
-	w     *world
-	quiet atomic.Bool
-	ids   atomic.Int64
-	stop  context.CancelFunc
-	done  sync.WaitGroup
+	w                *world
+	onlyPlannedStops atomic.Bool
+	lastID           atomic.Int64
+	cancel           context.CancelFunc
+	running          sync.WaitGroup
 }
 
 func startLoad(w *world, seed uint64) *load {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &load{w: w, stop: cancel}
-	for i := range callers {
-		l.done.Go(func() { l.call(ctx, rand.New(rand.NewPCG(seed, uint64(i)+100))) })
+	l := &load{w: w, cancel: cancel}
+	for i := range callerCount {
+		l.running.Go(func() { l.runCaller(ctx, rand.New(rand.NewPCG(seed, uint64(i)+100))) })
 	}
 	return l
 }
 
-func (l *load) end() {
-	l.stop()
-	l.done.Wait()
+func (l *load) stopAndWait() {
+	l.cancel()
+	l.running.Wait()
 }
 
-// call plays one caller.
-func (l *load) call(ctx context.Context, r *rand.Rand) {
+// runCaller sends requests as one caller until ctx ends.
+func (l *load) runCaller(ctx context.Context, r *rand.Rand) {
 	client := newClient()
 	var known []*vm
 	var resolved time.Time
 	for ctx.Err() == nil {
-		if time.Since(resolved) > resolveEvery || len(known) == 0 {
+		if time.Since(resolved) > resolveInterval || len(known) == 0 {
 			known, resolved = l.resolve(ctx, r, known), time.Now()
 		}
 		if len(known) == 0 {
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
-		a := l.attempt(r, pick(r, known))
-		a.answer = standin.Send(ctx, client, a.vm.callers.address(), a.Call)
+		a := l.newAttempt(r, pick(r, known))
+		a.answer = standin.Send(ctx, client, a.vm.callersProxy.address(), a.Call)
 		a.ended = time.Now()
 		if ctx.Err() != nil {
-			// The caller left at the end of the run; it saw nothing.
+			// The caller was stopped at the end of the run and observed no answer.
 			a.answer = standin.Answer{Err: ctx.Err()}
 		}
-		l.w.oracle.saw(a)
+		l.w.oracle.record(a)
 		time.Sleep(min(a.answer.RetryAfter, 500*time.Millisecond))
 		time.Sleep(time.Duration(r.IntN(30)) * time.Millisecond)
 	}
 	client.CloseIdleConnections()
 }
 
-// resolve asks a random VM where to connect. A caller that gets no answer keeps what it has.
-func (l *load) resolve(ctx context.Context, r *rand.Rand, old []*vm) []*vm {
+// resolve asks the directory of a random VM for the VMs to connect to. It returns previous if
+// there is no answer.
+func (l *load) resolve(ctx context.Context, r *rand.Rand, previous []*vm) []*vm {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	client := newClient()
 	defer client.CloseIdleConnections()
 	addresses, err := standin.Resolve(ctx, client, pick(r, l.w.vms).Directory, host, "a")
 	if err != nil {
-		return old
+		return previous
 	}
 	var out []*vm
 	for _, v := range l.w.vms {
@@ -117,8 +120,8 @@
 	return out
 }
 
-func (l *load) attempt(r *rand.Rand, v *vm) *attempt {
-	a := &attempt{kind: pick(r, []kind{chat, draft, file, look}), vm: v, sent: time.Now(), quiet: l.quiet.Load()}
+func (l *load) newAttempt(r *rand.Rand, v *vm) *attempt {
+	a := &attempt{kind: pick(r, []kind{chat, draft, file, look}), vm: v, sent: time.Now(), onlyPlannedStops: l.onlyPlannedStops.Load()}
 	a.team = pick(r, []string{"large", "large", "small"})
 	l.w.mu.Lock()
 	for _, t := range l.w.manifest.Teams {
@@ -127,7 +130,7 @@
 		}
 	}
 	l.w.mu.Unlock()
-	id := fmt.Sprintf("id%x", l.ids.Add(1))
+	id := fmt.Sprintf("id%x", l.lastID.Add(1))
 	a.Call = standin.Call{
 		ID: id, Host: host, Key: a.Key, Method: "POST", Path: "/" + string(a.kind) + "/" + id, Body: "body of " + id, Wait: 2 * time.Second,
 	}
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -12,41 +12,42 @@
 	"github.com/chestnutarch/chestnutarch/platform/standin"
 )
 
-// fault is one thing that goes wrong at a moment, and is mended later.
+// fault is injected at an offset from the start of the faults and repaired after its duration.
 type fault struct {
-	at, lasts time.Duration
-	name      string
-	begin     func()
-	// end may be nil.
+	start, duration time.Duration
+	name            string
+	begin           func()
+	// end repairs the fault. It may be nil.
 	end func()
 }
 
-// storm draws the faults of a run: the seed decides which, when and for how long. They
-// overlap, and some come in series.
-func (w *world) storm(r *rand.Rand, length time.Duration) []fault {
+// drawFaults draws the faults of a run. The seed determines the faults, their start and their
+// duration. Faults overlap, and some are repeated.
+func (w *world) drawFaults(r *rand.Rand, length time.Duration) []fault {
 	var all []fault
 	for n := int(length/time.Second) * 2; n > 0; n-- {
-		f := w.draw(r)
-		f.at = time.Duration(r.Int64N(int64(length)))
-		f.lasts = 300*time.Millisecond + time.Duration(r.Int64N(int64(2500*time.Millisecond)))
+		f := w.drawFault(r)
+		f.start = time.Duration(r.Int64N(int64(length)))
+		f.duration = 300*time.Millisecond + time.Duration(r.Int64N(int64(2500*time.Millisecond)))
 		all = append(all, f)
-		inSeries, repeats := r.IntN(6) >= 4, r.IntN(4)
-		for inSeries && repeats > 0 {
+		repeated, repeats := r.IntN(6) >= 4, r.IntN(4)
+		for repeated && repeats > 0 {
 			repeats--
-			again := f
-			again.at += time.Duration(r.Int64N(int64(2 * time.Second)))
-			all = append(all, again)
+			repeat := f
+			repeat.start += time.Duration(r.Int64N(int64(2 * time.Second)))
+			all = append(all, repeat)
 		}
 	}
-	slices.SortStableFunc(all, func(a, b fault) int { return int(a.at - b.at) })
+	slices.SortStableFunc(all, func(a, b fault) int { return int(a.start - b.start) })
 	return all
 }
 
-func (w *world) draw(r *rand.Rand) fault {
+func (w *world) drawFault(r *rand.Rand) fault {
 	draws := []func(*rand.Rand) fault{
-		w.killVM, w.killMany, w.termVM, w.pauseVM, w.hangup, w.cutVM, w.delayWay, w.resetWays, w.silenceWays,
-		w.storeAway, w.storeLosesAnswers, w.storeCompacts, w.storeLapses, w.storeTurnsAway,
-		w.crashReplica, w.drainReplica, w.failReplica, w.cutReplica, w.changeConfig,
+		w.killVM, w.killShare, w.terminateVM, w.pauseVM, w.reloadSettings,
+		w.blockVMConnections, w.delayVMConnections, w.resetVMConnections, w.silenceVMConnections,
+		w.storeUnavailable, w.storeDropsCommitAnswers, w.storeCompacts, w.storeRefusesAll, w.storeRefusesVM,
+		w.crashReplica, w.drainReplica, w.failReplica, w.blockReplica, w.changeConfig,
 	}
 	return pick(r, draws)(r)
 }
@@ -56,7 +57,7 @@
 	return fault{name: "kill " + v.Name, begin: func() { v.signal(syscall.SIGKILL) }}
 }
 
-func (w *world) killMany(r *rand.Rand) fault {
+func (w *world) killShare(r *rand.Rand) fault {
 	share := 0.5 + r.Float64()/2
 	return fault{name: fmt.Sprintf("kill %.0f%% of the VMs", 100*share), begin: func() {
 		for _, v := range w.vms[:max(1, int(share*float64(len(w.vms))))] {
@@ -65,9 +66,9 @@
 	}}
 }
 
-func (w *world) termVM(r *rand.Rand) fault {
+func (w *world) terminateVM(r *rand.Rand) fault {
 	v := pick(r, w.vms)
-	return fault{name: "terminate " + v.Name, begin: v.term}
+	return fault{name: "terminate " + v.Name, begin: v.terminate}
 }
 
 func (w *world) pauseVM(r *rand.Rand) fault {
@@ -77,71 +78,72 @@
 	}
 }
 
-// hangup changes the settings file of a VM and tells it so.
-func (w *world) hangup(r *rand.Rand) fault {
+// reloadSettings rewrites the settings file of a VM and sends it SIGHUP.
+func (w *world) reloadSettings(r *rand.Rand) fault {
 	v := pick(r, w.vms)
-	return fault{name: "hang up " + v.Name, begin: func() {
+	return fault{name: "reload settings of " + v.Name, begin: func() {
 		_ = v.writeSettings()
 		v.signal(syscall.SIGHUP)
 	}}
 }
 
-// ways are the proxies of a VM with their names.
-func ways(v *vm) map[string]*proxy {
-	return map[string]*proxy{"callers": v.callers, "peers": v.peers, "store": v.store}
+// proxiesOf returns the proxies of a VM by name.
+func proxiesOf(v *vm) map[string]*proxy {
+	return map[string]*proxy{"callers": v.callersProxy, "peers": v.peersProxy, "store": v.storeProxy}
 }
 
-func pickWay(r *rand.Rand, v *vm) (string, *proxy) {
+func pickProxy(r *rand.Rand, v *vm) (string, *proxy) {
 	name := pick(r, []string{"callers", "peers", "store"})
-	return name, ways(v)[name]
+	return name, proxiesOf(v)[name]
 }
 
-// cutVM cuts a VM off from the store, its peers or its callers, one way or both.
-func (w *world) cutVM(r *rand.Rand) fault {
+// blockVMConnections holds back the traffic between a VM and the store, its peers or its
+// callers, in one direction, in both or in neither.
+func (w *world) blockVMConnections(r *rand.Rand) fault {
 	v := pick(r, w.vms)
-	name, p := pickWay(r, v)
-	in, out := r.IntN(3) > 0, r.IntN(3) > 0
-	return fault{name: fmt.Sprintf("cut %s %s (in %v, out %v)", v.Name, name, in, out), begin: func() {
-		v.touch()
-		p.set(func() {
-			if in {
-				p.in = hold
+	name, p := pickProxy(r, v)
+	toTarget, toCaller := r.IntN(3) > 0, r.IntN(3) > 0
+	return fault{name: fmt.Sprintf("block %s %s (to target %v, to caller %v)", v.Name, name, toTarget, toCaller), begin: func() {
+		v.markDisturbed()
+		p.update(func() {
+			if toTarget {
+				p.toTarget = hold
 			}
-			if out {
-				p.out = hold
+			if toCaller {
+				p.toCaller = hold
 			}
 		})
 	}, end: func() {
 		p.heal()
-		v.touch()
+		v.markDisturbed()
 	}}
 }
 
-func (w *world) delayWay(r *rand.Rand) fault {
+func (w *world) delayVMConnections(r *rand.Rand) fault {
 	v := pick(r, w.vms)
-	name, p := pickWay(r, v)
+	name, p := pickProxy(r, v)
 	delay := time.Duration(10+r.IntN(300)) * time.Millisecond
 	return fault{
 		name:  fmt.Sprintf("delay %s %s by %v", v.Name, name, delay),
-		begin: func() { v.touch(); p.set(func() { p.delay = delay }) }, end: p.heal,
+		begin: func() { v.markDisturbed(); p.update(func() { p.delay = delay }) }, end: p.heal,
 	}
 }
 
-func (w *world) resetWays(r *rand.Rand) fault {
+func (w *world) resetVMConnections(r *rand.Rand) fault {
 	v := pick(r, w.vms)
-	name, p := pickWay(r, v)
-	return fault{name: "reset " + v.Name + " " + name, begin: func() { v.touch(); p.reset() }}
+	name, p := pickProxy(r, v)
+	return fault{name: "reset " + v.Name + " " + name, begin: func() { v.markDisturbed(); p.reset() }}
 }
 
-func (w *world) silenceWays(r *rand.Rand) fault {
+func (w *world) silenceVMConnections(r *rand.Rand) fault {
 	v := pick(r, w.vms)
-	name, p := pickWay(r, v)
-	return fault{name: "silence " + v.Name + " " + name, begin: func() { v.touch(); p.silence() }}
+	name, p := pickProxy(r, v)
+	return fault{name: "silence " + v.Name + " " + name, begin: func() { v.markDisturbed(); p.silence() }}
 }
 
-func (w *world) storeAway(r *rand.Rand) fault {
+func (w *world) storeUnavailable(r *rand.Rand) fault {
 	status := pick(r, []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, 0, -1})
-	return fault{name: fmt.Sprintf("the store is away (%d)", status), begin: func() {
+	return fault{name: fmt.Sprintf("the store is unavailable (%d)", status), begin: func() {
 		w.store.Override(func(out http.ResponseWriter, in *http.Request) {
 			switch status {
 			case 0:
@@ -155,54 +157,55 @@
 	}, end: func() { w.store.Override(nil) }}
 }
 
-func (w *world) storeLosesAnswers(*rand.Rand) fault {
+func (w *world) storeDropsCommitAnswers(*rand.Rand) fault {
 	return fault{
-		name: "the store loses answers", begin: func() { w.store.DropCommitAnswers(true) }, end: func() { w.store.DropCommitAnswers(false) },
+		name: "the store drops the answers of commits", begin: func() { w.store.DropCommitAnswers(true) }, end: func() { w.store.DropCommitAnswers(false) },
 	}
 }
 
 func (w *world) storeCompacts(*rand.Rand) fault {
-	return fault{name: "the store forgets its history", begin: w.store.Compact}
+	return fault{name: "the store compacts its history", begin: w.store.Compact}
 }
 
-// storeLapses makes the store refuse everything while leases run on: those that are due
-// meanwhile end.
-func (w *world) storeLapses(*rand.Rand) fault {
-	return fault{name: "the store is away and leases lapse", begin: func() {
+// storeRefusesAll makes the store refuse every call, renewals of leases included, while the
+// leases' times run on. Leases that are due meanwhile end.
+func (w *world) storeRefusesAll(*rand.Rand) fault {
+	return fault{name: "the store refuses all calls and leases expire", begin: func() {
 		w.store.Override(func(out http.ResponseWriter, _ *http.Request) { out.WriteHeader(http.StatusServiceUnavailable) })
 	}, end: func() { w.store.Override(nil) }}
 }
 
-// storeTurnsAway resets every connection of one VM to the store.
-func (w *world) storeTurnsAway(r *rand.Rand) fault {
+// storeRefusesVM resets the connections of one VM to the store, existing and new ones.
+func (w *world) storeRefusesVM(r *rand.Rand) fault {
 	v := pick(r, w.vms)
-	return fault{name: "the store turns " + v.Name + " away", begin: func() {
-		v.touch()
-		v.store.set(func() { v.store.refuse = true })
-		v.store.reset()
-	}, end: v.store.heal}
+	return fault{name: "the store refuses " + v.Name + "'s connections", begin: func() {
+		v.markDisturbed()
+		v.storeProxy.update(func() { v.storeProxy.refuse = true })
+		v.storeProxy.reset()
+	}, end: v.storeProxy.heal}
 }
 
-// crashReplica breaks a replica off; it starts again under its ID and knows nothing.
+// crashReplica resets a replica's connections. At the end the replica restarts under its
+// ID, without its models and its count of accepted orders.
 func (w *world) crashReplica(r *rand.Rand) fault {
-	u := pick(r, w.upstream)
+	u := pick(r, w.upstreams)
 	return fault{name: "crash " + u.ID, begin: func() {
-		u.way.set(func() { u.way.refuse = true })
-		u.way.reset()
+		u.proxy.update(func() { u.proxy.refuse = true })
+		u.proxy.reset()
 	}, end: func() {
 		u.Restart(time.Now().UnixMilli())
-		u.way.heal()
+		u.proxy.heal()
 		w.setState(u, "ready")
 	}}
 }
 
-// drainReplica announces that a replica leaves, takes its entry away and brings it back as
-// a new start.
+// drainReplica announces that a replica is draining, or removes its entry without an
+// announcement. The replica returns as a new incarnation.
 func (w *world) drainReplica(r *rand.Rand) fault {
-	u := pick(r, w.upstream)
-	silent := r.IntN(3) == 0
+	u := pick(r, w.upstreams)
+	unannounced := r.IntN(3) == 0
 	return fault{name: "drain " + u.ID, begin: func() {
-		if silent {
+		if unannounced {
 			w.setState(u, "")
 			return
 		}
@@ -213,18 +216,18 @@
 	}}
 }
 
-// failReplica makes a replica fail most requests in one of several ways.
+// failReplica makes a replica fail the requests that it runs, in one of the modes of failRequest.
 func (w *world) failReplica(r *rand.Rand) fault {
-	u, how := pick(r, w.upstream), r.IntN(4)
-	return fault{name: fmt.Sprintf("%s fails requests (%d)", u.ID, how), begin: func() {
-		u.SetFail(func(out http.ResponseWriter, in *http.Request) { failRequest(out, in, how) })
+	u, mode := pick(r, w.upstreams), r.IntN(4)
+	return fault{name: fmt.Sprintf("%s fails requests (%d)", u.ID, mode), begin: func() {
+		u.SetFail(func(out http.ResponseWriter, in *http.Request) { failRequest(out, in, mode) })
 	}, end: func() { u.SetFail(nil) }}
 }
 
-// failRequest answers with a failure, with bytes that nobody has signed, with a part of an
-// answer, or not at all.
-func failRequest(out http.ResponseWriter, in *http.Request, how int) {
-	switch how {
+// failRequest answers with a failure (mode 0), without a signature (1), with a truncated answer
+// (2) or not at all (any other mode).
+func failRequest(out http.ResponseWriter, in *http.Request, mode int) {
+	switch mode {
 	case 0:
 		standin.ReplyWithStatus(out, in, http.StatusInternalServerError)
 	case 1:
@@ -238,30 +241,33 @@
 	}
 }
 
-// hang leaves a request without an answer until its connection is gone. That is noticed only
-// once the request has been read to its end.
+// hang leaves a request without an answer until its connection is closed. The server detects
+// that only after the complete request has been read.
 func hang(r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
 }
 
-func (w *world) cutReplica(r *rand.Rand) fault {
-	u := pick(r, w.upstream)
-	in := r.IntN(2) == 0
-	return fault{name: fmt.Sprintf("cut %s (in %v)", u.ID, in), begin: func() {
-		u.way.set(func() {
-			if in {
-				u.way.in = hold
+// blockReplica holds back the traffic of a replica in one direction.
+func (w *world) blockReplica(r *rand.Rand) fault {
+	u := pick(r, w.upstreams)
+	toTarget := r.IntN(2) == 0
+	return fault{name: fmt.Sprintf("block %s (to target %v)", u.ID, toTarget), begin: func() {
+		u.proxy.update(func() {
+			if toTarget {
+				u.proxy.toTarget = hold
 			} else {
-				u.way.out = hold
+				u.proxy.toCaller = hold
 			}
 		})
 	}, end: func() {
-		u.way.reset()
-		u.way.heal()
+		u.proxy.reset()
+		u.proxy.heal()
 	}}
 }
 
+// changeConfig writes a newer version of the configuration, in half of the cases with one more
+// route.
 func (w *world) changeConfig(r *rand.Rand) fault {
 	add := r.IntN(2) == 0
 	return fault{name: "a new configuration", begin: func() {
--- a/test/soak/oracle_cases_test.go
+++ b/test/soak/oracle_cases_test.go
@@ -10,8 +10,8 @@
 	"github.com/chestnutarch/chestnutarch/platform/standin"
 )
 
-// An oracle that sees nothing passes every run. Each promise is broken once here, and the
-// oracle has to name just that one.
+// Guards against an oracle that passes every run because it detects nothing. Each case breaks one
+// promise, and the oracle must report that promise and no other.
 func TestOracleSeesEachBrokenPromise(t *testing.T) {
 	served := func(a *attempt) {
 		a.answer = standin.Answer{Status: http.StatusOK, Signed: true, ID: a.ID, Body: "done by clerk-1 for " + a.ID}
@@ -19,7 +19,7 @@
 	run := func(a *attempt) standin.Run {
 		return standin.Run{ID: a.ID, Tenant: a.team, Target: a.Path, Body: a.Body, Header: http.Header{}, Tokens: 200}
 	}
-	for promise, breaks := range map[string]func(a *attempt) []standin.Run{
+	for promise, violate := range map[string]func(a *attempt) []standin.Run{
 		"": func(a *attempt) []standin.Run {
 			served(a)
 			return []standin.Run{run(a)}
@@ -60,25 +60,25 @@
 			return nil
 		},
 		"planned stop": func(a *attempt) []standin.Run {
-			a.quiet, a.answer.Err = true, http.ErrServerClosed
+			a.onlyPlannedStops, a.answer.Err = true, http.ErrServerClosed
 			return []standin.Run{run(a)}
 		},
 	} {
 		a := &attempt{kind: file, team: "large", vm: &vm{}, Call: standin.Call{ID: "id1", Path: "/file/id1", Body: "b"}}
 		o := newOracle()
-		runs := breaks(a)
+		runs := violate(a)
 		o.checkRuns(a, runs)
 		o.checkAnswer(a, runs)
 		if promise == "" {
-			require.Empty(t, o.faults)
+			require.Empty(t, o.violations)
 			continue
 		}
-		require.Len(t, o.faults, 1, promise)
-		require.Contains(t, o.faults[0], promise+":")
+		require.Len(t, o.violations, 1, promise)
+		require.Contains(t, o.violations[0], promise+":")
 	}
 }
 
-func TestOracleSeesTooMuchOfARate(t *testing.T) {
+func TestOracleDetectsExceededRate(t *testing.T) {
 	o, now := newOracle(), time.Now()
 	runs := make(map[string][]standin.Run)
 	for i := range 100 {
@@ -86,18 +86,18 @@
 		runs[id] = []standin.Run{{ID: id, Tenant: "small", Tokens: 440, At: now.Add(time.Duration(i) * 100 * time.Millisecond)}}
 	}
 	o.checkRate(runs)
-	require.Empty(t, o.faults, "35,640 in eight seconds")
+	require.Empty(t, o.violations, "35,640 tokens in eight seconds are within the allowed rate")
 	for id := range runs {
 		runs[id][0].Tokens = 600
 	}
 	o.checkRate(runs)
-	require.Len(t, o.faults, 1)
+	require.Len(t, o.violations, 1)
 }
 
-func TestOracleSeesTwoHolders(t *testing.T) {
+func TestOracleDetectsTwoLeaseHolders(t *testing.T) {
 	for _, second := range []standin.Order{{Holder: "b", Token: 9, At: time.Now()}, {Holder: "a", Token: 4, At: time.Now()}} {
 		o, u := newOracle(), &upstream{Replica: standin.NewReplica("engine-0", 2)}
 		o.checkOrderLog(u.ID, []standin.Order{{Holder: "a", Token: 5, At: time.Now()}, second})
-		require.Len(t, o.faults, 1)
+		require.Len(t, o.violations, 1)
 	}
 }
--- a/test/soak/oracle_test.go
+++ b/test/soak/oracle_test.go
@@ -13,19 +13,21 @@
 	"github.com/chestnutarch/chestnutarch/platform/standin"
 )
 
-// oracle collects what callers saw and holds it against what the replicas ran.
+// oracle records what callers observed, compares it with what the replicas ran, and collects the
+// violations of the product's promises.
 type oracle struct {
-	mu       sync.Mutex
-	attempts map[string]*attempt
-	served   map[kind]int
-	faults   []string
+	mu         sync.Mutex
+	attempts   map[string]*attempt
+	served     map[kind]int
+	violations []string
 }
 
 func newOracle() *oracle {
 	return &oracle{attempts: make(map[string]*attempt), served: make(map[kind]int)}
 }
 
-func (o *oracle) saw(a *attempt) {
+// record adds a finished attempt.
+func (o *oracle) record(a *attempt) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.attempts[a.ID] = a
@@ -34,38 +36,41 @@
 	}
 }
 
-func (o *oracle) servedOf(k kind) int {
+// servedCount returns the number of attempts of a kind that got status 200 without an error.
+func (o *oracle) servedCount(k kind) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.served[k]
 }
 
-func (o *oracle) broken(promise, format string, args ...any) {
+// reportViolation records that a promise was broken. It keeps the first 20 violations.
+func (o *oracle) reportViolation(promise, format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if len(o.faults) < 20 {
-		o.faults = append(o.faults, promise+": "+fmt.Sprintf(format, args...))
+	if len(o.violations) < 20 {
+		o.violations = append(o.violations, promise+": "+fmt.Sprintf(format, args...))
 	}
 }
 
-// check holds everything against the promises. It is called when nothing runs any more.
+// check compares all attempts and runs with the promises. It must be called after all callers have
+// stopped.
 func (o *oracle) check(w *world) {
 	runs := make(map[string][]standin.Run)
-	for _, u := range w.upstream {
+	for _, u := range w.upstreams {
 		for _, r := range u.Runs() {
 			runs[r.ID] = append(runs[r.ID], r)
 		}
 		if _, overfull := u.Orders(); overfull {
-			o.broken("overcommit", "%s was ordered to hold more than fits", u.ID)
+			o.reportViolation("overcommit", "the orders of %s loaded more models than fit into its memory", u.ID)
 		}
 		o.checkOrderLog(u.ID, u.Log())
 	}
-	for id, all := range runs {
+	for id, executions := range runs {
 		a := o.attempts[id]
 		if a == nil {
 			continue
 		}
-		o.checkRuns(a, all)
+		o.checkRuns(a, executions)
 	}
 	for _, a := range o.attempts {
 		o.checkAnswer(a, runs[a.ID])
@@ -73,26 +78,26 @@
 	o.checkRate(runs)
 	for _, v := range w.vms {
 		v.mu.Lock()
-		for _, s := range v.surprises {
-			o.faults = append(o.faults, "process: "+v.Name+" ended by itself at "+s)
+		for _, end := range v.unexpectedEnds {
+			o.violations = append(o.violations, "process: "+v.Name+" ended unexpectedly at "+end)
 		}
 		v.mu.Unlock()
 	}
 }
 
 func (o *oracle) checkRuns(a *attempt, runs []standin.Run) {
-	if a.kind.once() && len(runs) > 1 {
-		o.broken("at most once", "%s %s ran %d times", a.kind, a.ID, len(runs))
+	if a.kind.atMostOnce() && len(runs) > 1 {
+		o.reportViolation("at most once", "%s %s ran %d times", a.kind, a.ID, len(runs))
 	}
 	for _, r := range runs {
 		if r.Tenant != a.team {
-			o.broken("team", "%s of %s ran for %q", a.ID, a.team, r.Tenant)
+			o.reportViolation("team", "%s of team %s ran for team %q", a.ID, a.team, r.Tenant)
 		}
 		if r.Body != a.Body || r.Target != a.Path || r.Model != a.Model {
-			o.broken("unchanged", "%s ran as %q %q %q", a.ID, r.Target, r.Model, r.Body)
+			o.reportViolation("unchanged", "%s ran with target %q, model %q, body %q", a.ID, r.Target, r.Model, r.Body)
 		}
 		if r.Header.Get("Authorization") != "" {
-			o.broken("key", "a replica saw the key of %s", a.ID)
+			o.reportViolation("key", "a replica received the key of %s", a.ID)
 		}
 	}
 }
@@ -101,34 +106,35 @@
 	switch a.answer.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		if len(runs) > 0 && !a.answer.Signed {
-			o.broken("refusal", "%s %s was answered %d at %s and has run", a.kind, a.ID, a.answer.Status, a.vm.Name)
+			o.reportViolation("refusal", "%s %s was refused with %d at %s although it ran", a.kind, a.ID, a.answer.Status, a.vm.Name)
 		}
 	case http.StatusOK:
-		if a.answer.Err == nil && !a.whole() {
-			o.broken("whole answer", "%s %s got %q of %q, signed %v", a.kind, a.ID, a.answer.Body, a.answer.ID, a.answer.Signed)
+		if a.answer.Err == nil && !a.complete() {
+			o.reportViolation("whole answer", "%s %s got answer %q with ID %q, signed %v", a.kind, a.ID, a.answer.Body, a.answer.ID, a.answer.Signed)
 		}
 	case http.StatusUnauthorized, http.StatusNotFound, http.StatusBadRequest, http.StatusRequestEntityTooLarge:
-		o.broken("denied", "%s %s with key %s was answered %d at %s", a.kind, a.ID, a.Key, a.answer.Status, a.vm.Name)
+		o.reportViolation("denied", "%s %s with key %s was answered %d at %s", a.kind, a.ID, a.Key, a.answer.Status, a.vm.Name)
 	}
-	if a.quiet && len(runs) > 0 && a.cut() {
-		o.broken("planned stop", "%s %s ran and its answer was cut at %s: %v", a.kind, a.ID, a.vm.Name, a.answer.Err)
+	if a.onlyPlannedStops && len(runs) > 0 && a.interrupted() {
+		o.reportViolation("planned stop", "%s %s ran and its answer was interrupted at %s: %v", a.kind, a.ID, a.vm.Name, a.answer.Err)
 	}
 }
 
-// cut reports whether the answer broke off or never came although its caller still waited.
-func (a *attempt) cut() bool {
+// interrupted reports whether the answer broke off or never came although the caller neither gave
+// up nor timed out.
+func (a *attempt) interrupted() bool {
 	err := a.answer.Err
 	return err != nil && !errors.Is(err, context.Canceled) && !errors.Is(err, context.DeadlineExceeded)
 }
 
-// whole reports whether a success is the complete answer to its own request.
-func (a *attempt) whole() bool {
+// complete reports whether a successful answer is the complete and signed answer to its request.
+func (a *attempt) complete() bool {
 	if !a.answer.Signed || a.answer.ID != a.ID {
 		return false
 	}
 	if !a.kind.streams() {
-		by, ok := strings.CutPrefix(a.answer.Body, "done by clerk-")
-		return ok && strings.HasSuffix(by, " for "+a.ID)
+		rest, ok := strings.CutPrefix(a.answer.Body, "done by clerk-")
+		return ok && strings.HasSuffix(rest, " for "+a.ID)
 	}
 	want := ""
 	for i := 1; i <= 3; i++ {
@@ -137,14 +143,15 @@
 	return a.answer.Body == want
 }
 
-// rateWindow is the window of the bound on rates.
+// rateWindow is the sliding window in which checkRate bounds the tokens of a team.
 const rateWindow = 8 * time.Second
 
-// checkRate holds what replicas ran for the team that asks too much against its rate.
+// checkRate compares the tokens that replicas ran for the team "small", which exceeds its rate,
+// with the rate. Only the first run of a request counts.
 func (o *oracle) checkRate(runs map[string][]standin.Run) {
 	var all []standin.Run
-	for _, of := range runs {
-		first := slices.MinFunc(of, func(a, b standin.Run) int { return a.At.Compare(b.At) })
+	for _, executions := range runs {
+		first := slices.MinFunc(executions, func(a, b standin.Run) int { return a.At.Compare(b.At) })
 		if first.Tenant == "small" {
 			all = append(all, first)
 		}
@@ -159,21 +166,22 @@
 			from++
 		}
 		if float64(sum) > allowed {
-			o.broken("rate", "%d tokens ran in %v up to %s, %.0f are allowed", sum, rateWindow, r.At.Format(time.StampMilli), allowed)
+			o.reportViolation("rate", "%d tokens ran in %v up to %s, %.0f are allowed", sum, rateWindow, r.At.Format(time.StampMilli), allowed)
 			return
 		}
 	}
 }
 
-// checkOrderLog holds that no two holders order a replica at a time.
+// checkOrderLog checks that only one lease holder at a time gives orders to a replica: fencing
+// tokens never decrease, and orders of different holders are at least the lease time apart.
 func (o *oracle) checkOrderLog(replica string, orders []standin.Order) {
 	var newest standin.Order
 	for _, order := range orders {
 		if order.Token < newest.Token {
-			o.broken("one leader", "%s took %q of %s with token %d after token %d", replica, order.Text, order.Holder, order.Token, newest.Token)
+			o.reportViolation("one leader", "%s accepted %q of %s with token %d after token %d", replica, order.Text, order.Holder, order.Token, newest.Token)
 		}
 		if order.Holder != newest.Holder && order.At.Sub(newest.At) < leaseMs*time.Millisecond {
-			o.broken("one leader", "%s took orders of %s and %s within %v", replica, newest.Holder, order.Holder, order.At.Sub(newest.At))
+			o.reportViolation("one leader", "%s accepted orders of %s and %s within %v", replica, newest.Holder, order.Holder, order.At.Sub(newest.At))
 		}
 		if order.Token >= newest.Token {
 			newest = order
--- a/test/soak/process_test.go
+++ b/test/soak/process_test.go
@@ -11,34 +11,36 @@
 	"github.com/chestnutarch/chestnutarch/platform/standin"
 )
 
-// vm is one process of the program under test.
+// vm is one process of the program under test with the proxies of its connections.
 type vm struct {
 	standin.VM
 	dir string
-	// builds are the programs that the process runs in turn, another one at each start;
-	// starts counts these.
+	// builds are the paths of the programs that the process runs: each start takes the next
+	// one. starts is the number of starts, offset by the index of the first build.
 	builds []string
 	starts int
-	// ways are the proxies of callers, of other VMs and to the store.
-	callers, peers, store *proxy
+	// The proxies carry connections from callers, from other VMs and to the store.
+	callersProxy, peersProxy, storeProxy *proxy
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
-	// wanted says that the process is to run, expected that its end was caused here.
-	wanted, expected bool
-	paused           bool
-	// surprises are ends that nobody caused.
-	surprises []string
-	// disturbed is when a fault last touched the process or a way of it.
+	// shouldRun says that the process is started again after it ends. endExpected says that
+	// the test has sent a signal that ends the process.
+	shouldRun, endExpected bool
+	paused                 bool
+	// unexpectedEnds are the times and errors of ends that the test did not cause,
+	// and the errors of failed starts.
+	unexpectedEnds []string
+	// disturbed is the time of the last fault of the process or of one of its proxies.
 	disturbed time.Time
 	done      chan struct{}
 }
 
 const (
-	// restartAfter is how long after its end the platform starts a process again.
-	restartAfter = 300 * time.Millisecond
-	// graceTime is between SIGTERM and SIGKILL.
-	graceTime = 4 * time.Second
+	// restartDelay is the time after which the platform restarts a process that has ended.
+	restartDelay = 300 * time.Millisecond
+	// gracePeriod is the time between SIGTERM and SIGKILL.
+	gracePeriod = 4 * time.Second
 )
 
 func (v *vm) settingsPath() string { return filepath.Join(v.dir, v.Name+".toml") }
@@ -47,8 +49,8 @@
 	return os.WriteFile(v.settingsPath(), []byte(v.Settings()), 0o600)
 }
 
-// run starts the process and starts it again after every end, until it is not wanted.
-func (v *vm) run() error {
+// supervise starts the process and restarts it whenever it ends, until shouldRun is false.
+func (v *vm) supervise() error {
 	if err := v.writeSettings(); err != nil {
 		return err
 	}
@@ -56,14 +58,14 @@
 	if err != nil {
 		return err
 	}
-	v.wanted, v.done = true, make(chan struct{})
+	v.shouldRun, v.done = true, make(chan struct{})
 	go func() {
 		defer close(v.done)
 		defer log.Close()
 		for v.start(log) {
 			err := v.cmd.Wait()
-			v.ended(err)
-			time.Sleep(restartAfter)
+			v.recordEnd(err)
+			time.Sleep(restartDelay)
 		}
 	}()
 	return nil
@@ -72,38 +74,39 @@
 func (v *vm) start(log *os.File) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.wanted {
+	if !v.shouldRun {
 		return false
 	}
 	v.cmd = exec.Command(v.builds[v.starts%len(v.builds)])
 	v.starts++
 	v.cmd.Env = []string{"CHESTNUTARCH_BOOT=" + v.settingsPath()}
 	v.cmd.Stdout, v.cmd.Stderr = log, log
-	v.expected = false
+	v.endExpected = false
 	if err := v.cmd.Start(); err != nil {
-		v.surprises = append(v.surprises, err.Error())
+		v.unexpectedEnds = append(v.unexpectedEnds, err.Error())
 		return false
 	}
 	return true
 }
 
-func (v *vm) ended(err error) {
+func (v *vm) recordEnd(err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.paused = false
-	if !v.expected {
-		v.surprises = append(v.surprises, time.Now().Format(time.StampMilli)+": "+errorText(err))
+	if !v.endExpected {
+		v.unexpectedEnds = append(v.unexpectedEnds, time.Now().Format(time.StampMilli)+": "+exitText(err))
 	}
 }
 
-func errorText(err error) string {
+func exitText(err error) string {
 	if err == nil {
-		return "ended with 0"
+		return "exit status 0"
 	}
 	return err.Error()
 }
 
-// signal sends a signal to the process.
+// signal sends a signal to the process and records whether its end is expected and whether it is
+// paused.
 func (v *vm) signal(s syscall.Signal) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -113,7 +116,7 @@
 	v.disturbed = time.Now()
 	switch s {
 	case syscall.SIGTERM, syscall.SIGKILL:
-		v.expected = true
+		v.endExpected = true
 	case syscall.SIGSTOP:
 		v.paused = true
 	case syscall.SIGCONT:
@@ -122,14 +125,15 @@
 	_ = v.cmd.Process.Signal(s)
 }
 
-// term stops the process as planned work does; it starts again by itself.
-func (v *vm) term() {
+// terminate stops the process as planned maintenance does: SIGTERM, and SIGKILL after
+// gracePeriod. The process is restarted by supervise.
+func (v *vm) terminate() {
 	v.mu.Lock()
 	cmd := v.cmd
 	v.mu.Unlock()
 	v.signal(syscall.SIGCONT)
 	v.signal(syscall.SIGTERM)
-	time.AfterFunc(graceTime, func() {
+	time.AfterFunc(gracePeriod, func() {
 		v.mu.Lock()
 		same := v.cmd == cmd
 		v.mu.Unlock()
@@ -139,26 +143,26 @@
 	})
 }
 
-// stop ends the process for good.
+// stop ends the process without a restart and closes its proxies.
 func (v *vm) stop() {
 	v.mu.Lock()
-	v.wanted = false
+	v.shouldRun = false
 	v.mu.Unlock()
 	v.signal(syscall.SIGCONT)
 	v.signal(syscall.SIGTERM)
 	select {
 	case <-v.done:
-	case <-time.After(graceTime + time.Second):
+	case <-time.After(gracePeriod + time.Second):
 		v.signal(syscall.SIGKILL)
 		<-v.done
 	}
-	for _, p := range []*proxy{v.callers, v.peers, v.store} {
+	for _, p := range []*proxy{v.callersProxy, v.peersProxy, v.storeProxy} {
 		p.close()
 	}
 }
 
-// touch notes that a fault disturbs the VM.
-func (v *vm) touch() {
+// markDisturbed records that a fault affects the VM now.
+func (v *vm) markDisturbed() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.disturbed = time.Now()
--- a/test/soak/proxy_test.go
+++ b/test/soak/proxy_test.go
@@ -6,38 +6,40 @@
 	"time"
 )
 
-// flow says what a proxy does with bytes of one direction.
+// flow is how a proxy treats the bytes of one direction.
 type flow int
 
 const (
 	// pass forwards them.
 	pass flow = iota
-	// hold keeps them back, as a cut link does whose packets are sent again.
+	// hold delays them until the flow changes, like a broken link whose packets are
+	// retransmitted.
 	hold
 )
 
-// proxy is a way between two parts on loopback.
+// proxy forwards loopback connections to a target and injects network faults.
 type proxy struct {
 	listener net.Listener
 	target   string
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// changed is closed and replaced whenever the proxy's settings change.
 	changed chan struct{}
-	// in is the flow towards the target, out the other way.
-	in, out flow
-	delay   time.Duration
-	// rate bounds what a connection carries away from the target, in bytes a second; zero
-	// for no bound.
+	// toTarget and toCaller are the flows of the two directions.
+	toTarget, toCaller flow
+	delay              time.Duration
+	// rate limits each connection in the direction from the target to the caller, in bytes a
+	// second. Zero means no limit.
 	rate int
 	// refuse resets new connections.
-	refuse bool
-	pairs  map[*pair]bool
+	refuse      bool
+	connections map[*connection]bool
 }
 
-// pair is one connection through a proxy.
-type pair struct {
+// connection is one connection through a proxy, with its two sockets.
+type connection struct {
 	caller, target net.Conn
-	// silent pairs swallow everything for good, without a reset.
+	// A silent connection delivers no more bytes and is not reset.
 	silent bool
 }
 
@@ -46,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: listener, target: target, changed: make(chan struct{}), pairs: make(map[*pair]bool)}
+	p := &proxy{listener: listener, target: target, changed: make(chan struct{}), connections: make(map[*connection]bool)}
 	go p.accept()
 	return p, nil
 }
@@ -82,26 +84,26 @@
 		}
 		return
 	}
-	c := &pair{caller: caller, target: target}
+	c := &connection{caller: caller, target: target}
 	p.mu.Lock()
-	p.pairs[c] = true
+	p.connections[c] = true
 	rate := p.rate
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.copy(c, target, caller, func() flow { return p.in }, 0) })
-	both.Go(func() { p.copy(c, caller, target, func() flow { return p.out }, rate) })
+	both.Go(func() { p.forward(c, target, caller, func() flow { return p.toTarget }, 0) })
+	both.Go(func() { p.forward(c, caller, target, func() flow { return p.toCaller }, rate) })
 	both.Wait()
 	p.mu.Lock()
-	delete(p.pairs, c)
+	delete(p.connections, c)
 	p.mu.Unlock()
 }
 
-// copy forwards one direction. An end is passed on as an end, a reset as a reset.
-func (p *proxy) copy(c *pair, to, from net.Conn, way func() flow, rate int) {
+// forward copies one direction. After an end or a reset it closes both sockets.
+func (p *proxy) forward(c *connection, to, from net.Conn, direction func() flow, rate int) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
-		if !p.wait(c, way) {
+		if !p.waitUntilPassed(c, direction) {
 			continue
 		}
 		if rate > 0 {
@@ -120,16 +122,16 @@
 	_ = from.Close()
 }
 
-// wait returns when bytes of a direction may go on, and false if they never may.
-func (p *proxy) wait(c *pair, way func() flow) bool {
+// waitUntilPassed waits until bytes of a direction may be forwarded, and returns true.
+func (p *proxy) waitUntilPassed(c *connection, direction func() flow) bool {
 	for {
 		p.mu.Lock()
-		silent, held, changed, delay := c.silent, way() == hold, p.changed, p.delay
+		silent, held, changed, delay := c.silent, direction() == hold, p.changed, p.delay
 		p.mu.Unlock()
 		if silent {
 			<-changed
 			p.mu.Lock()
-			gone := !p.pairs[c]
+			gone := !p.connections[c]
 			p.mu.Unlock()
 			if gone {
 				return true
@@ -144,8 +146,8 @@
 	}
 }
 
-// set changes the proxy and wakes what is held.
-func (p *proxy) set(change func()) {
+// update changes the proxy's settings and wakes the goroutines that wait for a change.
+func (p *proxy) update(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change()
@@ -153,28 +155,29 @@
 	p.changed = make(chan struct{})
 }
 
+// heal removes all faults except silent connections.
 func (p *proxy) heal() {
-	p.set(func() { p.in, p.out, p.delay, p.refuse = pass, pass, 0, false })
+	p.update(func() { p.toTarget, p.toCaller, p.delay, p.refuse = pass, pass, 0, false })
 }
 
-// silence makes the connections that are open silent for good.
+// silence makes all open connections silent until they are reset.
 func (p *proxy) silence() {
-	p.set(func() {
-		for c := range p.pairs {
+	p.update(func() {
+		for c := range p.connections {
 			c.silent = true
 		}
 	})
 }
 
-// reset breaks the connections that are open.
+// reset resets all open connections.
 func (p *proxy) reset() {
-	p.set(func() {
-		for c := range p.pairs {
+	p.update(func() {
+		for c := range p.connections {
 			for _, conn := range []net.Conn{c.caller, c.target} {
 				_ = conn.(*net.TCPConn).SetLinger(0)
 				_ = conn.Close()
 			}
-			delete(p.pairs, c)
+			delete(p.connections, c)
 		}
 	})
 }
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -18,44 +18,46 @@
 )
 
 var (
-	seeds  = flag.Int("seeds", 0, "how many fresh seeds to play")
-	seed   = flag.Uint64("seed", 0, "one seed to play again")
-	vms    = flag.Int("vms", 4, "how many VMs a world has")
-	routes = flag.Int("routes", 0, "how many routes more a configuration has, over narrow links")
-	storm  = flag.Duration("storm", 6*time.Second, "how long faults are injected")
-	all    = flag.Bool("regressions", false, "play all runs that failed once")
-	mixed  = flag.String("builds", "", "folders of two builds, comma-separated: half of the VMs start with each, and every restart changes to the other")
+	seedCount      = flag.Int("seeds", 0, "number of random seeds to run")
+	seed           = flag.Uint64("seed", 0, "a single seed to run")
+	vmCount        = flag.Int("vms", 4, "number of VMs in a run")
+	extraRoutes    = flag.Int("routes", 0, "number of additional routes in the configuration; links are narrow if it is above 0")
+	faultTime      = flag.Duration("storm", 6*time.Second, "time during which faults are injected")
+	allRegressions = flag.Bool("regressions", false, "run all regressions, those that CI leaves out included")
+	buildFolders   = flag.String("builds", "", "two folders with builds, comma-separated: half of the VMs start with each, and every restart switches to the other")
 )
 
-// regressions are runs that failed once, each with its cause.
+// regressions are runs that have failed, each with the cause of the failure.
 var regressions = []struct {
-	seed  uint64
-	storm time.Duration
-	cause string
-	// vms is the number of VMs, zero for as many as usual.
+	seed      uint64
+	faultTime time.Duration
+	cause     string
+	// vms is the number of VMs if it is larger than that of -vms.
 	vms int
-	// byHand says that CI leaves the run to another one with the same cause.
-	byHand bool
+	// manualOnly excludes the run from CI, which runs another one with the same cause.
+	manualOnly bool
 }{
-	{seed: 9655802739353177708, storm: 12 * time.Second, cause: "the client of the soak itself sent a lookup again when a kept connection broke"},
-	{seed: 14714426412605572254, storm: 12 * time.Second, cause: "an election whose answer was lost spared the next one the wait, and two VMs gave orders"},
-	{seed: 13262059493199150863, storm: 12 * time.Second, cause: "no report between VMs counted, since the soak wrote their incarnations with too few digits"},
-	{seed: 12778992311073241700, storm: 15 * time.Second, cause: "a VM that started anew unnoticed was left out of the answers of VMs behind a hub", vms: 14},
-	{seed: 15625051945064216609, storm: 15 * time.Second, cause: "a VM that started anew unnoticed was left out of the answers of VMs behind a hub", vms: 14, byHand: true},
-	{seed: 16920609689027517119, storm: 15 * time.Second, cause: "a VM that started anew unnoticed was left out of the answers of VMs behind a hub", vms: 14, byHand: true},
-	{seed: 4380780653052717364, storm: 15 * time.Second, cause: "a VM that started anew unnoticed was left out of the answers of VMs behind a hub", vms: 14, byHand: true},
+	{seed: 9655802739353177708, faultTime: 12 * time.Second, cause: "the HTTP client of the soak test repeated a lookup when a reused connection broke"},
+	{seed: 14714426412605572254, faultTime: 12 * time.Second, cause: "an election whose answer was lost made the next one skip the wait, and two VMs gave orders"},
+	{seed: 13262059493199150863, faultTime: 12 * time.Second, cause: "no report between VMs was accepted, because the soak test wrote their incarnations with too few digits"},
+	{seed: 12778992311073241700, faultTime: 15 * time.Second, cause: "a VM that restarted without being noticed was missing in the answers of VMs behind a hub", vms: 14},
+	{seed: 15625051945064216609, faultTime: 15 * time.Second, cause: "a VM that restarted without being noticed was missing in the answers of VMs behind a hub", vms: 14, manualOnly: true},
+	{seed: 16920609689027517119, faultTime: 15 * time.Second, cause: "a VM that restarted without being noticed was missing in the answers of VMs behind a hub", vms: 14, manualOnly: true},
+	{seed: 4380780653052717364, faultTime: 15 * time.Second, cause: "a VM that restarted without being noticed was missing in the answers of VMs behind a hub", vms: 14, manualOnly: true},
 }
 
-// fixed are the seeds that CI plays, and fixedLarge the one with largeRoutes.
-var fixed = []uint64{1, 2}
+// ciSeeds are the seeds that CI runs. ciSeedLarge is the one that runs with largeRoutes.
+var ciSeeds = []uint64{1, 2}
 
 const (
-	fixedLarge = 3
-	// largeRoutes make a configuration that takes a second over a narrow way.
+	ciSeedLarge = 3
+	// largeRoutes is the number of additional routes with which a configuration takes a second
+	// over a narrow link.
 	largeRoutes = 700
 )
 
-// builds are the programs that VMs run, the one of this source unless -builds names others.
+// builds are the paths of the programs that VMs run: those of -builds, or else the one built from
+// this source.
 var builds []string
 
 func TestMain(m *testing.M) {
@@ -73,11 +75,12 @@
 	os.Exit(code)
 }
 
-// programs returns the programs that -builds names, or builds the one of this source into dir.
+// programs returns the programs that -builds names. Without -builds it builds the program from this
+// source into dir.
 func programs(dir string) ([]string, error) {
-	if *mixed != "" {
+	if *buildFolders != "" {
 		var all []string
-		for _, folder := range strings.Split(*mixed, ",") {
+		for _, folder := range strings.Split(*buildFolders, ",") {
 			all = append(all, filepath.Join(folder, "chestnut-vm"))
 		}
 		return all, nil
@@ -89,134 +92,137 @@
 	return []string{program}, nil
 }
 
-// Processes are killed, stopped and paused, ways between them are cut, delayed, reset or
-// silenced, replicas fail and leave, the store is away and forgets, all at once and in
-// series. Whatever callers and replicas see then has to keep the promises, and when the
-// faults end everything is served again.
+// Injects faults that overlap and repeat: processes are killed, terminated and paused; their
+// connections are blocked, delayed, reset or silenced; replicas fail and drain; the store is
+// unavailable and compacts its history. What callers and replicas observe must keep the promises
+// throughout, and every kind of request must be served after the faults have ended.
 func TestSoak(t *testing.T) {
 	switch {
 	case *seed != 0:
-		start(t, *seed, *storm, *routes, *vms)
-	case *seeds > 0:
-		for range *seeds {
-			start(t, rand.Uint64(), *storm, *routes, *vms)
+		startSeed(t, *seed, *faultTime, *extraRoutes, *vmCount)
+	case *seedCount > 0:
+		for range *seedCount {
+			startSeed(t, rand.Uint64(), *faultTime, *extraRoutes, *vmCount)
 		}
-	case *all:
-		playRegressions(t, true)
+	case *allRegressions:
+		runRegressions(t, true)
 	default:
-		for _, s := range fixed {
-			start(t, s, *storm, 0, *vms)
+		for _, s := range ciSeeds {
+			startSeed(t, s, *faultTime, 0, *vmCount)
 		}
-		playRegressions(t, false)
-		start(t, fixedLarge, *storm, largeRoutes, *vms)
+		runRegressions(t, false)
+		startSeed(t, ciSeedLarge, *faultTime, largeRoutes, *vmCount)
 	}
 }
 
-// playRegressions plays the runs that failed once, those by hand only if asked to.
-func playRegressions(t *testing.T, byHand bool) {
+// runRegressions runs the regressions, those with manualOnly only if includeManual is set.
+func runRegressions(t *testing.T, includeManual bool) {
 	for _, r := range regressions {
-		if !r.byHand || byHand {
-			start(t, r.seed, r.storm, 0, max(r.vms, *vms))
+		if !r.manualOnly || includeManual {
+			startSeed(t, r.seed, r.faultTime, 0, max(r.vms, *vmCount))
 		}
 	}
 }
 
-func start(t *testing.T, s uint64, length time.Duration, routes, vms int) {
+func startSeed(t *testing.T, s uint64, length time.Duration, routes, vms int) {
 	t.Run(fmt.Sprint(s), func(t *testing.T) {
 		t.Parallel()
-		play(t, s, length, routes, vms)
+		runSeed(t, s, length, routes, vms)
 	})
 }
 
-// play is one run: a storm of faults, then the calm in which all has to come back and a
-// rolling restart has to cut nothing.
-func play(t *testing.T, s uint64, length time.Duration, routes, vms int) {
+// runSeed performs one run: it injects faults, checks the recovery after their end, and checks that
+// a rolling restart interrupts no request.
+func runSeed(t *testing.T, s uint64, length time.Duration, routes, vms int) {
 	r := rand.New(rand.NewPCG(s, 0))
 	w := newWorld(t, vms, routes)
 	t.Cleanup(func() { w.keepLogs(s) })
 	w.eventually("all VMs are ready", w.allReady)
-	w.eventually("all VMs hear each other", w.allHear)
+	w.eventually("the directory of every VM names all VMs", w.allListed)
 	stop := make(chan struct{})
-	go w.keepDescribing(stop)
+	go w.refreshEntries(stop)
 	l := startLoad(w, s)
-	w.inject(w.storm(r, length))
+	w.injectFaults(w.drawFaults(r, length))
 	w.heal()
-	w.calm(l)
-	l.end()
+	w.checkRecovery(l)
+	l.stopAndWait()
 	close(stop)
 	w.oracle.check(w)
-	w.report(s, length)
+	w.reportViolations(s, length)
 }
 
-// inject plays faults and mends each.
-func (w *world) inject(all []fault) {
+// injectFaults injects faults and repairs each after its duration. It returns when all are
+// repaired.
+func (w *world) injectFaults(all []fault) {
 	began := time.Now()
-	ends := make(chan struct{})
+	ended := make(chan struct{})
 	for _, f := range all {
-		time.Sleep(f.at - time.Since(began))
-		w.t.Logf("%6.2f s: %s for %v", time.Since(began).Seconds(), f.name, f.lasts.Round(time.Millisecond))
+		time.Sleep(f.start - time.Since(began))
+		w.t.Logf("%6.2f s: %s for %v", time.Since(began).Seconds(), f.name, f.duration.Round(time.Millisecond))
 		f.begin()
 		go func() {
-			time.Sleep(f.lasts)
+			time.Sleep(f.duration)
 			if f.end != nil {
 				f.end()
 			}
-			ends <- struct{}{}
+			ended <- struct{}{}
 		}()
 	}
 	for range all {
-		<-ends
+		<-ended
 	}
 }
 
-// calm checks what has to hold again once the faults have ended.
-func (w *world) calm(l *load) {
-	w.eventually("all VMs are ready again", w.allReady)
-	w.eventually("all VMs hear each other again", w.allHear)
+// checkRecovery checks what must hold after the faults have ended.
+func (w *world) checkRecovery(l *load) {
+	w.eventually("all VMs are ready after the faults", w.allReady)
+	w.eventually("the directory of every VM names all VMs after the faults", w.allListed)
 	for _, k := range []kind{chat, draft, file, look} {
-		before := w.oracle.servedOf(k)
-		w.eventually(fmt.Sprintf("%s is served again", k), func() bool { return w.oracle.servedOf(k) > before+5 })
+		before := w.oracle.servedCount(k)
+		w.eventually(fmt.Sprintf("%s is served after the faults", k), func() bool { return w.oracle.servedCount(k) > before+5 })
 	}
 	w.withdrawKey()
 	w.addRoute()
 	w.rollingRestart(l)
 }
 
-// withdrawKey takes a key away and holds that it stops working everywhere, for good.
+// withdrawKey removes a key and waits until every VM refuses it. rollingRestart checks that it
+// stays refused.
 func (w *world) withdrawKey() {
 	w.configure(func(m *standin.Manifest) { m.Teams[0].Keys = m.Teams[0].Keys[:1] })
 	for _, v := range w.vms {
-		w.eventually("the key is withdrawn at "+v.Name, func() bool { return w.probe(v, "look", "large-second") == http.StatusUnauthorized })
+		w.eventually("the withdrawn key is refused at "+v.Name, func() bool { return w.probe(v, "look", "large-second") == http.StatusUnauthorized })
 	}
 }
 
+// addRoute adds a route and waits until every VM serves it.
 func (w *world) addRoute() {
 	w.configure(func(m *standin.Manifest) { m.Extra = append(m.Extra, "newest") })
 	for _, v := range w.vms {
-		w.eventually("the route is there at "+v.Name, func() bool { return w.probe(v, "newest", "large-key") == http.StatusOK })
+		w.eventually("the new route is served at "+v.Name, func() bool { return w.probe(v, "newest", "large-key") == http.StatusOK })
 	}
 }
 
-// rollingRestart stops one VM after the other while callers ask, and holds that what is in
-// force stays so.
+// rollingRestart restarts one VM after the other while callers send requests, and checks that the
+// configuration in force stays in force.
 func (w *world) rollingRestart(l *load) {
-	time.Sleep(resolveEvery)
-	l.quiet.Store(true)
+	time.Sleep(resolveInterval)
+	l.onlyPlannedStops.Store(true)
 	for _, v := range w.vms {
-		v.term()
+		v.terminate()
 		time.Sleep(500 * time.Millisecond)
 		w.eventually(v.Name+" is ready after its restart", w.allReady)
 		if got := w.probe(v, "look", "large-second"); got == http.StatusOK {
-			w.oracle.broken("configuration", "%s takes the withdrawn key again", v.Name)
+			w.oracle.reportViolation("configuration", "%s accepts the withdrawn key after its restart", v.Name)
 		}
 		if got := w.probe(v, "newest", "large-key"); got == http.StatusNotFound {
-			w.oracle.broken("configuration", "%s has lost the newest route", v.Name)
+			w.oracle.reportViolation("configuration", "%s does not serve the newest route after its restart", v.Name)
 		}
 	}
-	l.quiet.Store(false)
+	l.onlyPlannedStops.Store(false)
 }
 
-// probe asks one VM directly, with nothing in between.
+// probe sends a request to one VM directly, without a proxy, and returns the status.
 func (w *world) probe(v *vm, route, key string) int {
 	client := newClient()
 	defer client.CloseIdleConnections()
@@ -226,16 +232,17 @@
 	}).Status
 }
 
+// allReady reports whether every VM is ready.
 func (w *world) allReady() bool {
 	client := newClient()
 	defer client.CloseIdleConnections()
 	for _, v := range w.vms {
 		response, err := client.Get("http://" + v.Readiness + "/readiness")
 		if err != nil {
-			w.unready = v.Name + ": " + err.Error()
+			w.lastNotReady = v.Name + ": " + err.Error()
 			return false
 		}
-		w.unready = v.Name + ": " + response.Status
+		w.lastNotReady = v.Name + ": " + response.Status
 		_ = response.Body.Close()
 		if response.StatusCode != http.StatusOK {
 			return false
@@ -244,51 +251,52 @@
 	return true
 }
 
-// allHear reports whether every VM names all of them to callers, which it does only while it
-// hears them.
-func (w *world) allHear() bool {
+// allListed reports whether the directory of every VM names all VMs to callers. A directory
+// names a VM only while its own VM receives messages from it, and at most 64 VMs.
+func (w *world) allListed() bool {
 	client := newClient()
 	defer client.CloseIdleConnections()
 	for _, v := range w.vms {
-		named, err := standin.Resolve(w.t.Context(), client, v.Directory, host, "a")
-		if err != nil || len(named) < min(len(w.vms), 64) {
-			w.unready = fmt.Sprintf("%s names %v", v.Name, named)
+		listed, err := standin.Resolve(w.t.Context(), client, v.Directory, host, "a")
+		if err != nil || len(listed) < min(len(w.vms), 64) {
+			w.lastNotReady = fmt.Sprintf("the directory of %s names only %v", v.Name, listed)
 			return false
 		}
 	}
 	return true
 }
 
-// patience is how long the world may take for what has to come in the end, on a machine that
-// is busy with other things too.
-const patience = time.Minute
+// recoveryTimeout is the time within which an awaited condition must hold. It allows for a machine
+// that is also busy with other work.
+const recoveryTimeout = time.Minute
 
+// eventually waits until the condition holds, and fails the test after recoveryTimeout.
 func (w *world) eventually(what string, condition func() bool) {
 	w.t.Helper()
 	for began := time.Now(); !condition(); time.Sleep(50 * time.Millisecond) {
-		if time.Since(began) > patience {
-			require.Fail(w.t, what, "not within %v; last not ready: %s", patience, w.unready)
+		if time.Since(began) > recoveryTimeout {
+			require.Fail(w.t, what, "condition not met within %v; last failed check: %s", recoveryTimeout, w.lastNotReady)
 		}
 	}
 }
 
-// report fails the run if a promise was broken.
-func (w *world) report(s uint64, length time.Duration) {
+// reportViolations fails the run if a promise was broken.
+func (w *world) reportViolations(s uint64, length time.Duration) {
 	o := w.oracle
 	w.t.Logf("seed %d: %d attempts, served %v", s, len(o.attempts), o.served)
-	if len(o.faults) > 0 {
-		require.Fail(w.t, "promises broken", "%s\nagain: go test ./test/soak -args -seed %d -storm %v", strings.Join(o.faults, "\n"), s, length)
+	if len(o.violations) > 0 {
+		require.Fail(w.t, "promises broken", "%s\nreproduce with: go test ./test/soak -args -seed %d -storm %v", strings.Join(o.violations, "\n"), s, length)
 	}
 }
 
-// keepLogs saves what the processes wrote if the run has failed.
+// keepLogs copies the logs of the processes to a temporary directory if the run has failed.
 func (w *world) keepLogs(s uint64) {
 	if !w.t.Failed() {
 		return
 	}
 	kept, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", s))
 	if err != nil {
-		w.t.Logf("the logs are lost: %v", err)
+		w.t.Logf("cannot create a directory for the logs: %v", err)
 		return
 	}
 	for _, v := range w.vms {
@@ -297,7 +305,7 @@
 			err = os.WriteFile(filepath.Join(kept, v.Name+".log"), text, 0o600)
 		}
 		if err != nil {
-			w.t.Logf("the log of %s is lost: %v", v.Name, err)
+			w.t.Logf("cannot copy the log of %s: %v", v.Name, err)
 		}
 	}
 	w.t.Logf("logs are kept in %s", kept)
--- a/test/soak/world_test.go
+++ b/test/soak/world_test.go
@@ -21,55 +21,59 @@
 
 const (
 	host = "callers.example"
-	// configMs, leaseMs and quotaSlack are bounds of the platform.
+	// configMs, leaseMs and quotaSlack are limits that the platform sets.
 	configMs   = 2000
 	leaseMs    = 1000
 	quotaSlack = 20_000
-	// smallRate and smallBurst are of the team that asks for more than it may have.
+	// smallRate and smallBurst are the limits of the team "small", which exceeds its rate, in
+	// tokens a second and in tokens.
 	smallRate  = 2_000.0
 	smallBurst = 2_000.0
 )
 
-// world is the processes with everything around them.
+// world is the environment of one run: the VMs under test, the store, the replicas, the
+// configuration and the oracle.
 type world struct {
-	t        *testing.T
-	dir      string
-	store    *standin.Store
-	storeAt  string
-	vms      []*vm
-	upstream []*upstream
-	oracle   *oracle
+	t            *testing.T
+	dir          string
+	store        *standin.Store
+	storeAddress string
+	vms          []*vm
+	upstreams    []*upstream
+	oracle       *oracle
 
 	mu       sync.Mutex
 	manifest standin.Manifest
-	// rate is what connections to the store and between VMs carry, in bytes a second; zero
-	// for no bound.
+	// rate limits each connection to the store and between VMs, in bytes a second. Zero means
+	// no limit.
 	rate int
-	// unready is the last VM that was not ready.
-	unready string
+	// lastNotReady is the last result of allReady or allListed, with the VM's name.
+	lastNotReady string
 }
 
-// upstream is one replica behind a proxy.
+// upstream is one replica of an upstream, with its proxy.
 type upstream struct {
 	*standin.Replica
 	service, zone string
 	server        *httptest.Server
-	way           *proxy
+	proxy         *proxy
 	mu            sync.Mutex
-	// state is "ready", "draining" or "" for one whose entry is gone.
+	// state is "ready", "draining", or "" if the replica has no entry in the store.
 	state string
 }
 
-// narrowRate is what a narrow way carries, in bytes a second: an eighth of a link of 10
-// Mbit/s, so that configurations of an eighth of the largest size show what those would.
-const narrowRate = 10_000_000 / 8 / 8
+// narrowLinkRate is the rate of a narrow link in bytes a second. It is an eighth of a link of 10
+// Mbit/s, so that a configuration of an eighth of the largest size behaves like the largest one on
+// such a link.
+const narrowLinkRate = 10_000_000 / 8 / 8
 
-// newWorld starts VMs. With routes beyond those that callers use, the configuration is large
-// and the ways that it takes are narrow.
+// newWorld starts a world with a number of VMs. routes is the number of additional routes that no
+// caller uses: they make the configuration large, and then the links to the store and between VMs
+// are narrow.
 func newWorld(t *testing.T, vms, routes int) *world {
 	w := &world{t: t, dir: t.TempDir(), store: standin.NewStore(), oracle: newOracle()}
 	if routes > 0 {
-		w.rate = narrowRate
+		w.rate = narrowLinkRate
 	}
 	w.manifest = standin.Manifest{
 		Version: 1, Host: host, Models: []string{"m0", "m1", "m2", "m3"},
@@ -88,18 +92,19 @@
 		server.CloseClientConnections()
 		server.Close()
 	})
-	w.storeAt = server.Listener.Addr().String()
+	w.storeAddress = server.Listener.Addr().String()
 	for i := range 3 {
 		w.addUpstream("engine", fmt.Sprintf("engine-%d", i), "m0", "m1")
 		w.addUpstream("clerk", fmt.Sprintf("clerk-%d", i))
 	}
-	w.store.Rewrite(w.throughPeerProxies)
+	w.store.Rewrite(w.publishPeerProxies)
 	for i := range vms {
 		w.addVM(i, fmt.Sprintf("vm-%d", i), []string{"a", "b"}[i%2])
 	}
-	// The store reads the list of VMs as soon as the first one registers.
+	// All VMs are added before one starts: the store calls publishPeerProxies, which reads the
+	// list of VMs, as soon as the first one registers.
 	for _, v := range w.vms {
-		require.NoError(t, v.run())
+		require.NoError(t, v.supervise())
 		t.Cleanup(v.stop)
 	}
 	return w
@@ -110,62 +115,62 @@
 	r.NameAttempt, r.ServiceTime, r.Born = true, 5*time.Millisecond, time.Now().UnixMilli()
 	r.SetLoadTime(200 * time.Millisecond)
 	u := &upstream{Replica: r, service: service, zone: "a", server: httptest.NewServer(r), state: "ready"}
-	way, err := newProxy(u.server.Listener.Addr().String())
+	replicaProxy, err := newProxy(u.server.Listener.Addr().String())
 	require.NoError(w.t, err)
-	u.way = way
-	w.upstream = append(w.upstream, u)
+	u.proxy = replicaProxy
+	w.upstreams = append(w.upstreams, u)
 	w.t.Cleanup(func() {
-		u.way.close()
+		u.proxy.close()
 		u.server.CloseClientConnections()
 		u.server.Close()
 	})
-	w.describe(u)
+	w.writeEntry(u)
 }
 
-// describe writes the entry of a replica as it is now.
-func (w *world) describe(u *upstream) {
+// writeEntry writes the current entry of a replica to the store, or deletes it.
+func (w *world) writeEntry(u *upstream) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.state == "" {
 		w.store.Delete("servers/" + u.ID)
 		return
 	}
-	w.store.Put("servers/"+u.ID, u.Entry(u.service, u.way.address(), u.zone, u.state))
+	w.store.Put("servers/"+u.ID, u.Entry(u.service, u.proxy.address(), u.zone, u.state))
 }
 
 func (w *world) setState(u *upstream, state string) {
 	u.mu.Lock()
 	u.state = state
 	u.mu.Unlock()
-	w.describe(u)
+	w.writeEntry(u)
 }
 
 func (w *world) addVM(firstBuild int, name, zone string) {
-	given := freePorts(w.t, 5)
-	at := func(i int) string { return fmt.Sprintf("127.0.0.1:%d", given[i]) }
+	vmPorts := freePorts(w.t, 5)
+	at := func(i int) string { return fmt.Sprintf("127.0.0.1:%d", vmPorts[i]) }
 	v := &vm{builds: builds, starts: firstBuild, dir: w.dir, VM: standin.VM{
-		Name: name, Zone: zone, IP: "127.0.0.1", FirstPort: min(given[0], given[1]), LastPort: max(given[0], given[1]),
+		Name: name, Zone: zone, IP: "127.0.0.1", FirstPort: min(vmPorts[0], vmPorts[1]), LastPort: max(vmPorts[0], vmPorts[1]),
 		Callers: at(2), Readiness: at(3), Directory: at(4),
-		ConfigMs: configMs, LeaseMs: leaseMs, GraceS: int(graceTime.Seconds()), QuotaSlack: quotaSlack,
+		ConfigMs: configMs, LeaseMs: leaseMs, GraceS: int(gracePeriod.Seconds()), QuotaSlack: quotaSlack,
 	}}
-	for _, way := range []struct {
-		into   **proxy
+	for _, link := range []struct {
+		proxy  **proxy
 		target string
-	}{{&v.callers, v.Callers}, {&v.peers, fmt.Sprintf("127.0.0.1:%d", v.FirstPort)}, {&v.store, w.storeAt}} {
-		p, err := newProxy(way.target)
+	}{{&v.callersProxy, v.Callers}, {&v.peersProxy, fmt.Sprintf("127.0.0.1:%d", v.FirstPort)}, {&v.storeProxy, w.storeAddress}} {
+		p, err := newProxy(link.target)
 		require.NoError(w.t, err)
-		*way.into = p
+		*link.proxy = p
 	}
-	for _, p := range []*proxy{v.peers, v.store} {
-		p.set(func() { p.rate = w.rate })
+	for _, p := range []*proxy{v.peersProxy, v.storeProxy} {
+		p.update(func() { p.rate = w.rate })
 	}
-	v.Store = v.store.address()
+	v.Store = v.storeProxy.address()
 	w.vms = append(w.vms, v)
 }
 
-// throughPeerProxies makes VMs reach each other through proxies: a registration names the
-// proxy in place of the VM.
-func (w *world) throughPeerProxies(key string, value []byte) []byte {
+// publishPeerProxies makes VMs reach each other through proxies: it replaces the VM's address in a
+// registration by that of the VM's proxy for peers.
+func (w *world) publishPeerProxies(key string, value []byte) []byte {
 	name, ok := strings.CutPrefix(key, "chestnutarch/vms/")
 	if !ok {
 		return value
@@ -176,7 +181,7 @@
 	}
 	for _, v := range w.vms {
 		if v.Name == name {
-			registration["peers"] = json.RawMessage(strconv.Quote(v.peers.address()))
+			registration["peers"] = json.RawMessage(strconv.Quote(v.peersProxy.address()))
 		}
 	}
 	changed, err := json.Marshal(registration)
@@ -186,7 +191,7 @@
 	return changed
 }
 
-// ports gives out the ports of all worlds.
+// ports allocates the ports of all worlds.
 var ports portblock.Ports
 
 func freePorts(t *testing.T, n int) []int {
@@ -199,7 +204,7 @@
 	return out
 }
 
-// configure writes a newer configuration.
+// configure changes the configuration, writes it to the store and returns its version.
 func (w *world) configure(change func(m *standin.Manifest)) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -209,45 +214,47 @@
 	return w.manifest.Version
 }
 
-// keepDescribing writes the entries of the replicas anew as orders change what they hold.
-func (w *world) keepDescribing(stop <-chan struct{}) {
+// refreshEntries rewrites the entries of the replicas every 500 ms until stop is closed, because
+// orders change which models the replicas hold.
+func (w *world) refreshEntries(stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
 		case <-time.After(500 * time.Millisecond):
 		}
-		for _, u := range w.upstream {
+		for _, u := range w.upstreams {
 			u.mu.Lock()
-			ready := u.state != ""
+			listed := u.state != ""
 			u.mu.Unlock()
-			if ready {
-				w.describe(u)
+			if listed {
+				w.writeEntry(u)
 			}
 		}
 	}
 }
 
-// heal ends every fault that lasts.
+// heal ends all faults that are still active.
 func (w *world) heal() {
 	w.store.Override(nil)
 	w.store.DropCommitAnswers(false)
 	for _, v := range w.vms {
-		for _, p := range []*proxy{v.callers, v.peers, v.store} {
+		for _, p := range []*proxy{v.callersProxy, v.peersProxy, v.storeProxy} {
 			p.heal()
 			p.reset()
 		}
 	}
-	for _, u := range w.upstream {
-		u.way.heal()
-		u.way.reset()
+	for _, u := range w.upstreams {
+		u.proxy.heal()
+		u.proxy.reset()
 		u.SetFail(nil)
 	}
 }
 
 func pick[T any](r *rand.Rand, all []T) T { return all[r.IntN(len(all))] }
 
-// client keeps connections as a caller does, and sends nothing twice by itself.
+// newClient returns a client that reuses connections as a caller does, and that does not resend
+// requests by itself.
 func newClient() *http.Client {
 	return &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{
 		MaxIdleConnsPerHost: 4, IdleConnTimeout: 20 * time.Second, DisableCompression: true,
