--- a/test/race_on_test.go
+++ b/test/race_on_test.go
@@ -2,5 +2,5 @@
 
 package test
 
-// buildFlags builds the daemons with the race detector when the tests have it.
+// buildFlags enables the race detector in the daemons if the tests run with it.
 var buildFlags = []string{"-race"}
--- a/test/records_test.go
+++ b/test/records_test.go
@@ -23,7 +23,7 @@
 	status, answer, err := send(method, args[0]+"/standin/faults", body)
 	ts.Check(err)
 	if status != http.StatusNoContent {
-		ts.Fatalf("fault: %d %s", status, answer)
+		ts.Fatalf("fault: stand-in answered %d, want 204: %s", status, answer)
 	}
 }
 
@@ -35,7 +35,7 @@
 	ts.Check(compare(ts, args))
 }
 
-// cmdAwait: as check, but waits until it holds.
+// cmdAwait: await URL|FILE FIELD OP VALUE waits until the comparison of check holds.
 func cmdAwait(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 4 {
 		ts.Fatalf("usage: await URL|FILE FIELD OP VALUE")
@@ -44,35 +44,36 @@
 }
 
 func compare(ts *testscript.TestScript, args []string) error {
-	v, err := field(ts, args[0], args[1])
+	v, err := readField(ts, args[0], args[1])
 	if err != nil {
 		return err
 	}
-	if !holds(v, args[2], args[3]) {
-		return fmt.Errorf("%s: %s is %v, not %s %s", args[0], args[1], v, args[2], args[3])
+	if !satisfies(v, args[2], args[3]) {
+		return fmt.Errorf("%s: field %s is %v, want %s %s", args[0], args[1], v, args[2], args[3])
 	}
 	return nil
 }
 
-// field reads a field, or the sum of it over several places with commas between.
-func field(ts *testscript.TestScript, from, path string) (any, error) {
-	if first, rest, several := strings.Cut(from, ","); several {
-		a, err := field(ts, first, path)
+// readField returns a field of a source, or the sum of the field over several
+// sources separated by commas.
+func readField(ts *testscript.TestScript, sources, path string) (any, error) {
+	if first, rest, several := strings.Cut(sources, ","); several {
+		a, err := readField(ts, first, path)
 		if err != nil {
 			return nil, err
 		}
-		b, err := field(ts, rest, path)
+		b, err := readField(ts, rest, path)
 		x, _ := a.(float64)
 		y, _ := b.(float64)
 		return x + y, err
 	}
-	data, err := read(ts, from)
+	data, err := readSource(ts, sources)
 	if err != nil {
 		return nil, err
 	}
 	var v any
 	if err := json.Unmarshal(data, &v); err != nil {
-		return nil, fmt.Errorf("%s: %w in %.200s", from, err, data)
+		return nil, fmt.Errorf("%s is not JSON: %w in %.200s", sources, err, data)
 	}
 	for part := range strings.SplitSeq(path, ".") {
 		v = member(v, part)
@@ -80,21 +81,22 @@
 	return v, nil
 }
 
-// read gets the records of a stand-in by its URL, any other URL as it is, or
-// a file of the scenario.
-func read(ts *testscript.TestScript, from string) ([]byte, error) {
-	if !strings.HasPrefix(from, "http://") {
-		return os.ReadFile(ts.MkAbs(from))
+// readSource returns the records of a stand-in if the source is the stand-in's
+// URL without a path, the answer to any other URL, or a file of the scenario.
+func readSource(ts *testscript.TestScript, source string) ([]byte, error) {
+	if !strings.HasPrefix(source, "http://") {
+		return os.ReadFile(ts.MkAbs(source))
 	}
-	if strings.Count(from, "/") == 2 {
-		from += "/standin/records"
+	if strings.Count(source, "/") == 2 {
+		source += "/standin/records"
 	}
-	_, data, err := send(http.MethodGet, from, "")
+	_, data, err := send(http.MethodGet, source, "")
 	return data, err
 }
 
-// member steps into a value: a field, an index, "len" for the number of members,
-// or "max" for the largest number among them.
+// member returns a member of a value: a field by its name, an element by its
+// index, the number of members by "len", or the largest number among the
+// members by "max". It returns nil if there is no such member.
 func member(v any, part string) any {
 	switch in := v.(type) {
 	case map[string]any:
@@ -125,7 +127,9 @@
 	return nil
 }
 
-func holds(v any, op, want string) bool {
+// satisfies reports whether a comparison holds. Without two numbers, only == and
+// != can hold besides has and hasnot, which search the value's JSON for a text.
+func satisfies(v any, op, want string) bool {
 	if op == "has" {
 		data, _ := json.Marshal(v)
 		return strings.Contains(string(data), want)
--- a/test/scenarios_test.go
+++ b/test/scenarios_test.go
@@ -31,27 +31,27 @@
 	return m.Run()
 }
 
-// mixed names folders of other builds of chestnut-entry and chestnut-planner.
-var mixed = flag.String("builds", "", "folders of two builds, comma-separated: half of the VMs and planners start with each, and every restart changes to the other")
+// buildFolders names folders of other builds of chestnut-entry and chestnut-planner.
+var buildFolders = flag.String("builds", "", "two folders with builds, comma-separated: half of the VMs and planners start with each, and every restart switches to the other")
 
-// atOnce bounds how many scenarios run at the same time, each with half a
-// dozen processes.
-var atOnce = make(chan struct{}, 4)
+// scenarioSlots limits the scenarios that run at the same time. Each of them has
+// about six processes.
+var scenarioSlots = make(chan struct{}, 4)
 
-// measure lets TestMeasurements run: its scripts take minutes, and what they
-// print is only worth something on a quiet machine.
-var measure = flag.Bool("measure", false, "run the measurements")
+// runMeasurements enables TestMeasurements. Its scripts take minutes, and their
+// results are meaningful only on a machine that is otherwise idle.
+var runMeasurements = flag.Bool("measure", false, "run the measurements")
 
-func TestScenarios(t *testing.T) { testscript.Run(t, params("scenarios")) }
+func TestScenarios(t *testing.T) { testscript.Run(t, scriptParams("scenarios")) }
 
 func TestMeasurements(t *testing.T) {
-	if !*measure {
+	if !*runMeasurements {
 		t.Skip("measurements run only with -measure")
 	}
-	testscript.Run(t, params("measurements"))
+	testscript.Run(t, scriptParams("measurements"))
 }
 
-func params(dir string) testscript.Params {
+func scriptParams(dir string) testscript.Params {
 	return testscript.Params{
 		Dir:                 dir,
 		RequireExplicitExec: true,
--- a/test/state_test.go
+++ b/test/state_test.go
@@ -20,19 +20,18 @@
 
 type stateKey struct{}
 
-// state is what one scenario has running.
+// state is the running processes, calls and streams of one scenario.
 type state struct {
 	env     *testscript.Env
 	daemons map[string]*daemon
 	calls   map[string]*call
 	streams map[string]*stream
-	// started counts the daemons of each program that were started.
+	// started is the number of daemons that were created, by program.
 	started map[string]int
 }
 
-// never is how long a scenario waits before it says that something which has
-// to happen did not happen.
-const never = 30 * time.Second
+// waitLimit is how long a scenario waits for an expected event before it fails.
+const waitLimit = 30 * time.Second
 
 func newState(e *testscript.Env) *state {
 	s := &state{
@@ -40,18 +39,19 @@
 		calls: make(map[string]*call), streams: make(map[string]*stream),
 		started: make(map[string]int),
 	}
-	atOnce <- struct{}{}
+	scenarioSlots <- struct{}{}
 	e.Defer(func() {
-		defer func() { <-atOnce }()
-		s.end()
+		defer func() { <-scenarioSlots }()
+		s.cleanUp()
 	})
 	return s
 }
 
 func stateOf(ts *testscript.TestScript) *state { return ts.Value(stateKey{}).(*state) }
 
-// end kills what runs and, if the scenario failed, shows the ends of the logs.
-func (s *state) end() {
+// cleanUp kills the daemons, stops the streams and, if the scenario has failed,
+// logs the last 12,000 bytes of each daemon's log.
+func (s *state) cleanUp() {
 	failed := false
 	if f, ok := s.env.T().(interface{ Failed() bool }); ok {
 		failed = f.Failed()
@@ -60,7 +60,7 @@
 		d.kill()
 		if log, err := os.ReadFile(d.log); failed && err == nil {
 			const shown = 12000
-			s.env.T().Log(fmt.Sprintf("== log of %s\n%s", name, log[max(0, len(log)-shown):]))
+			s.env.T().Log(fmt.Sprintf("== end of the log of %s\n%s", name, log[max(0, len(log)-shown):]))
 		}
 	}
 	for _, st := range s.streams {
@@ -75,19 +75,19 @@
 	cmd    *exec.Cmd
 	exited chan struct{}
 	err    error
-	// starts decides which of the builds under -builds is run.
-	starts int
+	// startCount selects the build that the next start runs if -builds is set.
+	startCount int
 }
 
-// program is the path of the daemon's program: of this source, or with -builds of each build
-// in turn.
+// program returns the path of the daemon's program. It is built from this
+// source, or with -builds taken from each of the builds in turn.
 func (d *daemon) program() string {
 	name := d.args[0]
-	if *mixed == "" || name != "chestnut-entry" && name != "chestnut-planner" {
+	if *buildFolders == "" || name != "chestnut-entry" && name != "chestnut-planner" {
 		return filepath.Join(binaries, name)
 	}
-	folders := strings.Split(*mixed, ",")
-	return filepath.Join(folders[d.starts%len(folders)], name)
+	folders := strings.Split(*buildFolders, ",")
+	return filepath.Join(folders[d.startCount%len(folders)], name)
 }
 
 func (d *daemon) start() error {
@@ -96,7 +96,7 @@
 		return err
 	}
 	d.cmd = exec.Command(d.program(), d.args[1:]...)
-	d.starts++
+	d.startCount++
 	d.cmd.Stdout, d.cmd.Stderr = log, log
 	if err := d.cmd.Start(); err != nil {
 		return err
@@ -118,13 +118,13 @@
 	<-d.exited
 }
 
-// errRuns means that a thread of a paused process has not stopped yet.
-var errRuns = errors.New("the process has not stopped yet")
+// errNotStopped says that a thread of a paused process has not stopped yet.
+var errNotStopped = errors.New("a thread of the process has not stopped after SIGSTOP")
 
-// stopped returns nil once every thread of the process has stopped. The signal
-// is only on its way when it has been sent: a request that came right after it
-// could still be answered.
-func (d *daemon) stopped() error {
+// checkStopped returns nil if every thread of the process has stopped. Signals
+// are delivered asynchronously: without this check, the process could still
+// answer a request that arrives right after the signal was sent.
+func (d *daemon) checkStopped() error {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", d.cmd.Process.Pid))
 	if err != nil {
 		return err
@@ -136,7 +136,7 @@
 		}
 		_, rest, _ := strings.Cut(string(stat), ") ")
 		if !strings.HasPrefix(rest, "T") {
-			return errRuns
+			return errNotStopped
 		}
 	}
 	return nil
@@ -154,7 +154,7 @@
 	}
 	d := s.daemons[args[1]]
 	if d == nil {
-		ts.Fatalf("no daemon %s", args[1])
+		ts.Fatalf("no daemon %s was started", args[1])
 	}
 	switch args[0] {
 	case "restart":
@@ -164,7 +164,7 @@
 		d.kill()
 	case "pause":
 		d.signal(syscall.SIGSTOP)
-		ts.Check(poll(d.stopped))
+		ts.Check(poll(d.checkStopped))
 	case "cont":
 		d.signal(syscall.SIGCONT)
 	case "term":
@@ -173,24 +173,24 @@
 		select {
 		case <-d.exited:
 			if d.err != nil {
-				ts.Fatalf("%s ended with %v", args[1], d.err)
+				ts.Fatalf("daemon %s exited with an error: %v", args[1], d.err)
 			}
-		case <-time.After(never):
-			ts.Fatalf("%s still runs", args[1])
+		case <-time.After(waitLimit):
+			ts.Fatalf("daemon %s has not exited within the time limit", args[1])
 		}
 	default:
-		ts.Fatalf("unknown: %s", args[0])
+		ts.Fatalf("unknown subcommand of daemon: %s", args[0])
 	}
 }
 
 func (s *state) start(name string, args ...string) error {
-	d := &daemon{args: args, log: filepath.Join(s.env.WorkDir, name+".log"), starts: s.started[args[0]]}
+	d := &daemon{args: args, log: filepath.Join(s.env.WorkDir, name+".log"), startCount: s.started[args[0]]}
 	s.started[args[0]]++
 	s.daemons[name] = d
 	return d.start()
 }
 
-// ports gives out the ports of all scenarios.
+// ports allocates the ports of all scenarios.
 var ports portblock.Ports
 
 func freePort() int {
@@ -201,15 +201,15 @@
 	return port
 }
 
-// fresh is a client that never reuses a connection, for questions to stand-ins.
-var fresh = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 10 * time.Second}
+// unpooledClient never reuses a connection. It is for requests to stand-ins.
+var unpooledClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 10 * time.Second}
 
 func send(method, url, body string) (int, []byte, error) {
 	request, err := http.NewRequest(method, url, bytes.NewReader([]byte(body)))
 	if err != nil {
 		return 0, nil, err
 	}
-	response, err := fresh.Do(request)
+	response, err := unpooledClient.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -218,21 +218,22 @@
 	return response.StatusCode, data, err
 }
 
-// poll repeats a question until it is answered with nil, and returns the last
-// answer if that does not happen.
-func poll(question func() error) error {
-	const pause = 20 * time.Millisecond
-	end := time.Now().Add(never)
+// poll calls check until it returns nil. After waitLimit it returns the last
+// error.
+func poll(check func() error) error {
+	const interval = 20 * time.Millisecond
+	deadline := time.Now().Add(waitLimit)
 	for {
-		err := question()
-		if err == nil || time.Now().After(end) {
+		err := check()
+		if err == nil || time.Now().After(deadline) {
 			return err
 		}
-		time.Sleep(pause)
+		time.Sleep(interval)
 	}
 }
 
-// cmdReady: ready URL...
+// cmdReady: ready URL... waits until each URL answers 200; negated, until each
+// answers another status or gives no answer.
 func cmdReady(ts *testscript.TestScript, neg bool, args []string) {
 	for _, url := range args {
 		err := poll(func() error {
--- a/test/world_test.go
+++ b/test/world_test.go
@@ -17,16 +17,16 @@
 	"github.com/chestnutarch/chestnutarch/internal/kv"
 )
 
-// world is the environment of a scenario. Its addresses are the variables
-// $KV, $VMS, $WEIGHTS, $ENGINE1..., $SERVICE1..., $ENTRY1..., $OPS1...,
-// $PLANNER1... of the script.
+// world is the environment of a scenario. Scripts have its addresses in the
+// variables $KV, $VMS, $WEIGHTS, $ENGINE1..., $SERVICE1..., $ENTRY1...,
+// $OPS1..., $PLANNER1...
 type world struct {
 	Entries, Planners, Engines, Services []address
 	KV, VMs, Weights                     address
 	Options                              options
 }
 
-// address is one process's name and ports.
+// address is the name, the failure domain and the addresses of one process.
 type address struct {
 	Name   string
 	Domain string
@@ -35,48 +35,48 @@
 	Peers  string
 }
 
-// Opt is an option of the world command, for templates.
-func (w *world) Opt(name, otherwise string) string { return w.Options.get(name, otherwise) }
+// Opt returns an option of the world command. It is for templates.
+func (w *world) Opt(name, fallback string) string { return w.Options.get(name, fallback) }
 
 func newAddress(name string, number int) address {
 	at := func() string { return fmt.Sprintf("127.0.0.1:%d", freePort()) }
 	return address{Name: name, Domain: string(rune('a' + number%3)), Listen: at(), Ops: at(), Peers: at()}
 }
 
-func (w *world) list(name string, otherwise string) []address {
-	n, _ := strconv.Atoi(w.Opt(name, otherwise))
+func (w *world) newAddresses(name string, fallback string) []address {
+	n, _ := strconv.Atoi(w.Opt(name, fallback))
 	var all []address
 	for i := range n {
-		one := map[string]string{"entries": "entry", "engines": "engine", "services": "service"}[name]
-		all = append(all, newAddress(one+strconv.Itoa(i+1), i))
+		singular := map[string]string{"entries": "entry", "engines": "engine", "services": "service"}[name]
+		all = append(all, newAddress(singular+strconv.Itoa(i+1), i))
 	}
 	return all
 }
 
-// plannersConfigured is the number of planners that have a configuration file,
-// so that a scenario can start more of them later.
+// plannersConfigured is the number of planners for which a configuration file is
+// written, so that a scenario can start more planners later.
 const plannersConfigured = 3
 
 // cmdWorld: world [entries=2] [engines=2] [services=2] [planners=1] [resident=no] [fencing=enforced] [...]
-// writes the configuration files, starts the stand-ins and the planners,
-// applies the document, and starts the entry VMs without waiting for them.
+// writes the configuration files, starts the stand-ins, applies the document, and
+// starts the planners and the entry VMs without waiting until they are ready.
 func cmdWorld(ts *testscript.TestScript, neg bool, args []string) {
 	s := stateOf(ts)
-	w := &world{Options: parse(args), KV: newAddress("kv", 0), VMs: newAddress("vms", 0), Weights: newAddress("weights", 0)}
-	w.Entries = w.list("entries", "2")
+	w := &world{Options: parseOptions(args), KV: newAddress("kv", 0), VMs: newAddress("vms", 0), Weights: newAddress("weights", 0)}
+	w.Entries = w.newAddresses("entries", "2")
 	for i := range plannersConfigured {
 		w.Planners = append(w.Planners, newAddress("planner"+strconv.Itoa(i+1), i))
 	}
-	w.Engines = w.list("engines", "2")
-	w.Services = w.list("services", "2")
+	w.Engines = w.newAddresses("engines", "2")
+	w.Services = w.newAddresses("services", "2")
 	started, err := strconv.Atoi(w.Opt("planners", "1"))
 	ts.Check(err)
-	w.export(ts)
-	ts.Check(w.write(s.env.WorkDir))
+	w.setVariables(ts)
+	ts.Check(w.writeFiles(s.env.WorkDir))
 	ts.Check(s.start("standins", "chestnut-standin", "--config", filepath.Join(s.env.WorkDir, "standins.yaml")))
 	ready := []string{"http://" + w.KV.Listen + "/standin/records"}
 	cmdReady(ts, false, ready)
-	ts.Check(apply(w.KV.Listen, filepath.Join(s.env.WorkDir, "document.yaml")))
+	ts.Check(applyDocument(w.KV.Listen, filepath.Join(s.env.WorkDir, "document.yaml")))
 	for _, p := range w.Planners[:started] {
 		ts.Check(s.start(p.Name, "chestnut-planner", "--config", filepath.Join(s.env.WorkDir, p.Name+".yaml")))
 	}
@@ -85,7 +85,8 @@
 	}
 }
 
-func (w *world) export(ts *testscript.TestScript) {
+// setVariables sets the script's variables for the addresses.
+func (w *world) setVariables(ts *testscript.TestScript) {
 	set := func(name, listen string) {
 		ts.Setenv(name, "http://"+listen)
 		ts.Setenv(name+"_ADDRESS", listen)
@@ -106,7 +107,7 @@
 	}
 }
 
-// urls joins addresses as a command line takes them.
+// urls returns the URLs of addresses, separated by commas, for command lines.
 func urls(all []address) string {
 	var list []string
 	for _, a := range all {
@@ -115,10 +116,10 @@
 	return strings.Join(list, ",")
 }
 
-var functions = template.FuncMap{"digest": configstate.DigestKey}
+var templateFunctions = template.FuncMap{"digest": configstate.DigestKey}
 
-// write fills the templates of testdata.
-func (w *world) write(dir string) error {
+// writeFiles executes the templates of testdata and writes the results to dir.
+func (w *world) writeFiles(dir string) error {
 	files := map[string]any{"standins.yaml": w, "document.yaml": w, "workload.yaml": w}
 	for name := range files {
 		if err := fillTemplate(name, filepath.Join(dir, name), w); err != nil {
@@ -140,7 +141,7 @@
 }
 
 func fillTemplate(name, path string, data any) error {
-	t, err := template.New(name).Funcs(functions).ParseFiles(filepath.Join("testdata", name))
+	t, err := template.New(name).Funcs(templateFunctions).ParseFiles(filepath.Join("testdata", name))
 	if err != nil {
 		return err
 	}
@@ -154,13 +155,13 @@
 	return file.Close()
 }
 
-// apply accepts a document on top of the one in force.
-func apply(service, path string) error {
+// applyDocument applies a document as the next version after the one in force.
+func applyDocument(kvAddress, path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	store, err := kv.NewHTTP(kv.Options{URLs: []string{"http://" + service}})
+	store, err := kv.NewHTTP(kv.Options{URLs: []string{"http://" + kvAddress}})
 	if err != nil {
 		return err
 	}
@@ -184,8 +185,8 @@
 	if len(args) != 1 {
 		ts.Fatalf("usage: apply FILE")
 	}
-	err := apply(strings.TrimPrefix(ts.Getenv("KV"), "http://"), ts.MkAbs(args[0]))
+	err := applyDocument(strings.TrimPrefix(ts.Getenv("KV"), "http://"), ts.MkAbs(args[0]))
 	if (err != nil) != neg {
-		ts.Fatalf("apply: %v", err)
+		ts.Fatalf("apply: unexpected result: %v", err)
 	}
 }
