--- a/internal/assign/pacing_test.go
+++ b/internal/assign/pacing_test.go
@@ -34,8 +34,9 @@
 	return f
 }
 
-// shareLoadsAtOnce makes every VM report its requests to the others as they are sent.
-func (f *simFleet) shareLoadsAtOnce() {
+// reportLoadsImmediately makes every VM report its loads to the others whenever it sends a
+// request, besides the periodic reports.
+func (f *simFleet) reportLoadsImmediately() {
 	f.onSent = func(vm int, engine string) {
 		loads := f.vms[vm].LoadsOf([]string{engine})
 		for i, to := range f.vms {
@@ -47,30 +48,30 @@
 }
 
 // Eight VMs send short prompts to four engines that prefill whatever has arrived between
-// two tokens. Whenever several prompts arrive at once, the streams stall, although the
-// engines are busy only half of the time. When the VMs report their requests to each other
-// at once and pace prompts by prefill work, nearly all streams keep to the objective, and
-// hardly any request has to be refused for it.
+// two tokens. Whenever several prompts arrive at the same time, the streams stall, although
+// the engines are busy only half of the time. When the VMs report their requests to each other
+// immediately and pace prompts by prefill work, nearly all streams keep to the objective for
+// the longest pause between events (maxGap), and hardly any request has to be refused for it.
 func TestPacedPrefillKeepsStreamsFromStalling(t *testing.T) {
-	unshared := newSimFleet(8, 4, 4096)
-	unshared.countFrom = 4 * time.Second
-	unshared.run(80, 20*time.Second)
-	shared := newSimFleet(8, 4, 4096)
-	shared.countFrom = 4 * time.Second
-	shared.shareLoadsAtOnce()
-	shared.run(80, 20*time.Second)
-	t.Logf("without shared loads: %d of %d streams stalled, %d refused; with shared loads: %d of %d, %d",
-		unshared.stalled, unshared.streams, unshared.refused, shared.stalled, shared.streams, shared.refused)
-	require.Less(t, shared.stalled, shared.streams/20)
-	require.Less(t, shared.refused, (shared.streams+shared.refused)*3/100)
-	require.Greater(t, unshared.stalled, 3*shared.stalled)
+	periodic := newSimFleet(8, 4, 4096)
+	periodic.countFrom = 4 * time.Second
+	periodic.run(80, 20*time.Second)
+	immediate := newSimFleet(8, 4, 4096)
+	immediate.countFrom = 4 * time.Second
+	immediate.reportLoadsImmediately()
+	immediate.run(80, 20*time.Second)
+	t.Logf("periodic reports only: %d of %d streams stalled, %d requests refused; immediate reports too: %d of %d stalled, %d refused",
+		periodic.stalled, periodic.streams, periodic.refused, immediate.stalled, immediate.streams, immediate.refused)
+	require.Less(t, immediate.stalled, immediate.streams/20)
+	require.Less(t, immediate.refused, (immediate.streams+immediate.refused)*3/100)
+	require.Greater(t, periodic.stalled, 3*immediate.stalled)
 }
 
-// Other engines prefill prompts in chunks so small that no stream stalls. Nothing must be
-// held back there: it would only make answers start later.
+// The engines prefill prompts in chunks so small that no stream stalls. No prompt must be
+// held back by pacing: answers would only start later.
 func TestNoPacingWhereChunkedPrefillCausesNoStalls(t *testing.T) {
 	f := newSimFleet(4, 4, 256)
-	f.shareLoadsAtOnce()
+	f.reportLoadsImmediately()
 	f.run(60, 10*time.Second)
 	for _, s := range f.vms {
 		require.False(t, s.stallStats["engines"].pacing)
--- a/internal/order/account.go
+++ b/internal/order/account.go
@@ -27,7 +27,7 @@
 	Engine string `json:"engine"`
 	// Incarnation is the incarnation of the engine that the entries describe.
 	Incarnation string `json:"incarnation"`
-	// Fence is the fencing number of the leader that last wrote the record.
+	// Fence is the fencing token of the leader that last wrote the record.
 	Fence int64 `json:"fence"`
 	// Nonce is unique to each write, so that a writer that did not receive the
 	// outcome can recognise its own write.
--- a/internal/order/action.go
+++ b/internal/order/action.go
@@ -55,7 +55,7 @@
 type Order struct {
 	// ID is the same in every repeat of the order and never used for another order.
 	ID string
-	// Fence is the sending leader's fencing number.
+	// Fence is the sending leader's fencing token.
 	Fence int64
 	Kind  Kind
 	Item  placement.Item
@@ -112,7 +112,7 @@
 type Options struct {
 	// Prefix is the prefix of the planner's keys, ending in a slash.
 	Prefix string
-	// Fence is the leader's fencing number.
+	// Fence is the leader's fencing token.
 	Fence int64
 	// LoadsPerSecond is the number of loads that may start per second. The default
 	// is 1.
--- a/internal/order/next.go
+++ b/internal/order/next.go
@@ -32,9 +32,9 @@
 	return actions
 }
 
-// stepIndex makes the index list every engine and carry this leader's fencing number. An
+// stepIndex makes the index list every engine and carry this leader's fencing token. An
 // account may be created only for an engine in the index, so a leader that has written
-// its fencing number to the index has the complete list of possible accounts.
+// its fencing token to the index has the complete list of possible accounts.
 func (b *Reconciler) stepIndex(actions []Action) []Action {
 	if a, ok := b.index.next(); ok {
 		return append(actions, a)
@@ -56,7 +56,7 @@
 	return append(actions, b.index.write(next.Encode()))
 }
 
-// stepRegisters reads every account in the index and writes this leader's fencing number
+// stepRegisters reads every account in the index and writes this leader's fencing token
 // to it.
 func (b *Reconciler) stepRegisters(actions []Action) []Action {
 	for _, name := range b.engineNames {
@@ -93,7 +93,7 @@
 	return actions
 }
 
-// updateControl checks whether every account carries this leader's fencing number. Until
+// updateControl checks whether every account carries this leader's fencing token. Until
 // then, an older leader could still record an order that this one does not see: two
 // leaders could each unload the copy that the other relies on.
 func (b *Reconciler) updateControl(now time.Time) {
--- a/internal/order/reconciler.go
+++ b/internal/order/reconciler.go
@@ -29,7 +29,7 @@
 	deposed  bool
 	// inControlSince is when the last account was taken over, or zero.
 	inControlSince time.Time
-	// ownsAll is true if every account carries this leader's fencing number.
+	// ownsAll is true if every account carries this leader's fencing token.
 	ownsAll bool
 	// quietSince is the time since when every engine has been present and every copy
 	// has been serving.
@@ -67,9 +67,9 @@
 	spec    *EngineSpec
 	account Account
 	// listed means that the index lists the engine and carries this leader's
-	// fencing number.
+	// fencing token.
 	listed bool
-	// owned means that the account carries this leader's fencing number.
+	// owned means that the account carries this leader's fencing token.
 	owned bool
 	// proposed is the account that the pending write contains.
 	proposed Account
@@ -170,11 +170,11 @@
 	return state
 }
 
-// Deposed reports whether a record was found that carries a later leader's fencing number
+// Deposed reports whether a record was found that carries a later leader's fencing token
 // or cannot be decoded. Next then returns no more actions.
 func (b *Reconciler) Deposed() bool { return b.deposed }
 
-// InControl reports whether every account carries this leader's fencing number.
+// InControl reports whether every account carries this leader's fencing token.
 func (b *Reconciler) InControl() bool { return b.ownsAll && !b.deposed }
 
 // ReadDone records the result of a Read. With ok false the read failed.
--- a/internal/patch/patch.go
+++ b/internal/patch/patch.go
@@ -8,7 +8,7 @@
 )
 
 // ErrPatch means that a patch cannot be made, or cannot be decoded with the given base.
-var ErrPatch = errors.New("patch: bad patch")
+var ErrPatch = errors.New("patch: cannot make or decode the patch")
 
 const (
 	// maxValueBytes is the largest size of a value, so that a damaged patch cannot exhaust
--- a/internal/patch/patch_test.go
+++ b/internal/patch/patch_test.go
@@ -20,7 +20,7 @@
 }
 
 // A configuration that changes by one route is sent to each VM 13,000 times a day. Sending
-// it in full would take most of a narrow link. Random text represents keys, which have no
+// it in full would use most of the bandwidth of a narrow link. Random text represents keys, which have no
 // repeated parts.
 func TestPatchSizeIsSmallForSmallChange(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
@@ -38,7 +38,7 @@
 	require.Equal(t, after, got)
 }
 
-func TestEveryPatchMakesItsValue(t *testing.T) {
+func TestApplyingPatchGivesValue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		piece := rapid.SliceOfN(rapid.Byte(), 0, 200)
 		base, value := configurationText(rapid.IntRange(0, 300).Draw(t, "rows")), []byte{}
@@ -72,7 +72,7 @@
 	require.ErrorIs(t, err, ErrPatch)
 }
 
-func TestHistoryPatchesKeptVersions(t *testing.T) {
+func TestHistoryMakesPatchesFromKeptVersions(t *testing.T) {
 	h := NewHistory()
 	h.Record("small", 1, []byte("x"))
 	_, _, ok := h.Patch("small", 1, 0)
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -5,7 +5,7 @@
 	"github.com/chestnutarch/chestnutarch/internal/peer/peerpb"
 )
 
-// EncodeNode converts a report to its message.
+// EncodeNode converts a VM's report about itself to a protobuf message.
 func EncodeNode(n membership.Node) *peerpb.NodeState {
 	return &peerpb.NodeState{
 		Vm:            n.VM,
@@ -27,8 +27,8 @@
 	}
 }
 
-// DecodeNode converts a message to a report. A nil message gives a report
-// without a VM ID, which package membership ignores.
+// DecodeNode converts a protobuf message to a VM's report about itself. A nil message gives
+// a report without a VM ID, which package membership ignores.
 func DecodeNode(m *peerpb.NodeState) membership.Node {
 	return membership.Node{
 		VM:            m.GetVm(),
--- a/internal/residency/adapters.go
+++ b/internal/residency/adapters.go
@@ -7,8 +7,9 @@
 	"github.com/chestnutarch/chestnutarch/internal/catalog"
 )
 
-// minAdapterIdleTime is how long an adapter must be unused before it may be evicted: a little
-// more than the age of the VMs' reports, since the unload of an adapter in use waits for its
+// minAdapterIdleTime is how long an adapter must be unused before it may be evicted. It is a
+// little more than the age of the VMs' reports of use: an adapter whose newest use has not
+// been reported yet must not be evicted, since the unload of an adapter in use waits for its
 // requests.
 const minAdapterIdleTime = 600 * time.Millisecond
 
@@ -20,19 +21,20 @@
 }
 
 // PlaceAdapter chooses an engine for an adapter of a model: the one with the smallest prefill
-// backlog among those with a free slot, else the one whose least recently used adapter was
-// used longest ago. It returns false if no engine can load the adapter now.
+// backlog among those with a free slot and the memory for it, else the one whose least recently
+// used adapter was used longest ago, at least minAdapterIdleTime. It returns false if no engine
+// can load the adapter now.
 func PlaceAdapter(engines []Engine, spec *catalog.EngineSpec, model string, now time.Time) (AdapterMove, bool) {
 	var best AdapterMove
-	bestFree, bestLoad, found := false, 0, false
-	var oldest time.Time
+	bestFree, bestBacklog, found := false, 0, false
+	var bestVictimUsed time.Time
 	for _, e := range engines {
 		if !e.Usable || e.Busy || !e.Models[model] {
 			continue
 		}
 		if fitsAdapter(e, spec, model) {
-			if !bestFree || e.PrefillBacklog < bestLoad {
-				best, bestFree, bestLoad, found = AdapterMove{Engine: e.ID}, true, e.PrefillBacklog, true
+			if !bestFree || e.PrefillBacklog < bestBacklog {
+				best, bestFree, bestBacklog, found = AdapterMove{Engine: e.ID}, true, e.PrefillBacklog, true
 			}
 			continue
 		}
@@ -43,15 +45,15 @@
 		if victim == "" || now.Sub(used) < minAdapterIdleTime {
 			continue
 		}
-		if !found || used.Before(oldest) {
-			best, oldest, found = AdapterMove{Engine: e.ID, Evict: victim}, used, true
+		if !found || used.Before(bestVictimUsed) {
+			best, bestVictimUsed, found = AdapterMove{Engine: e.ID, Evict: victim}, used, true
 		}
 	}
 	return best, found
 }
 
 // fitsAdapter reports whether an engine has a slot and the memory for one more adapter of the
-// model. An engine that is ordered to hold more than it can crashes.
+// model. An engine crashes if it is ordered to load more than fits in its memory.
 func fitsAdapter(e Engine, spec *catalog.EngineSpec, model string) bool {
 	if len(e.Adapters) >= spec.AdapterSlots {
 		return false
--- a/internal/residency/adapters_test.go
+++ b/internal/residency/adapters_test.go
@@ -16,9 +16,9 @@
 	require.Equal(t, AdapterMove{Engine: "b"}, move)
 }
 
-// All adapter slots are in use. The least recently used adapter is evicted. An adapter with
-// requests in flight must not be: its unload would wait for them and block the engine for
-// other adapters.
+// All adapter slots are in use. The least recently used adapter is evicted. An adapter that
+// was used 100 ms ago must not be evicted, since it may still have requests in flight: its
+// unload would wait for them and block the engine for other adapters.
 func TestAdapterInUseIsNotEvicted(t *testing.T) {
 	now := time.Now()
 	a, b := engine("a", "m0"), engine("b", "m0")
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -96,10 +96,10 @@
 	return &w.slots[len(w.slots)-1]
 }
 
-// sum returns the requests and retries of the window that ends with the interval last and
-// reaches count intervals back, and drops older slots.
-func (w *window) sum(last, count int64) (requests, retries float64) {
-	for len(w.slots) > 0 && w.slots[0].index < last-count {
+// sum returns the requests and retries counted in the interval last and in the back intervals
+// before it, and drops older slots.
+func (w *window) sum(last, back int64) (requests, retries float64) {
+	for len(w.slots) > 0 && w.slots[0].index < last-back {
 		w.slots = w.slots[1:]
 	}
 	for _, s := range w.slots {
--- a/internal/teamrate/chance.go
+++ b/internal/teamrate/admit_probability.go
@@ -12,18 +12,20 @@
 	// minReportingShare is the part of the VMs whose reports must be current for the
 	// average to represent the demand at all VMs.
 	minReportingShare = 0.5
-	// startupPeriod is how long after its start a VM admits requests without that average,
-	// and startupProbability the probability of admission meanwhile. With it, several times
-	// a team's rate at all VMs at once stays within the tolerance until the VMs receive
-	// each other's reports.
+	// startupPeriod is how long after it first received a list of peers a VM admits requests
+	// without that average, and startupProbability the probability of admission meanwhile, which
+	// applies while a team's bucket is low. If callers send several times a team's rate through
+	// VMs that have all just started, this probability keeps what the VMs admit within the
+	// tolerance until they receive each other's reports.
 	startupPeriod      = 1500 * time.Millisecond
 	startupProbability = 0.4
-	// initialRefill is the refill time that a new bucket is credited with: an empty bucket
-	// refuses all but the smallest requests.
+	// initialRefill is the time for which a new bucket is credited with refill: an empty
+	// bucket would refuse all but the smallest requests.
 	initialRefill = 200 * time.Millisecond
 )
 
-// demandRate is the average demand of a team at all VMs that report, in units per second.
+// demandRate is the average demand of a team at this VM and at all VMs that report to it, in
+// units per second.
 type demandRate struct {
 	perSecond float64
 	updated   time.Time
@@ -65,9 +67,10 @@
 	if reporting < minReportingShare*l.vms || lastJoined.IsZero() || observed < minDemandObservation {
 		return 0, false
 	}
-	// Corrects the bias of an average that began when the last of them first reported.
-	bias := 1 - math.Exp(-observed.Seconds()/demandTimeConstant.Seconds())
-	return b.demand.decayed(now) / bias * l.vms / reporting, true
+	// An average that began when the last of the reporting VMs first reported has reached only
+	// this share of the demand so far.
+	reachedShare := 1 - math.Exp(-observed.Seconds()/demandTimeConstant.Seconds())
+	return b.demand.decayed(now) / reachedShare * l.vms / reporting, true
 }
 
 // minDemandObservation is the shortest time over which reports give a usable demand rate.
@@ -76,10 +79,11 @@
 // admitProbability returns the probability with which a request is admitted while a team's
 // bucket is low.
 //
-// The VM's local tokens are too few for a large request, and for any request where callers
-// reach one VM of hundreds only every few seconds: with them alone, nearly all requests of
-// a team far below its rate would be refused. Each VM therefore admits the part of the
-// demand at all VMs that the rate allows.
+// The units that this VM may admit by its local rate (localLevel) are too few for a large
+// request. They are too few for any request if the callers of a team reach each of hundreds of
+// VMs only every few seconds. With them alone, nearly all requests of a team far below its rate
+// would be refused. Each VM therefore admits the same part of the requests that it receives:
+// the part of the demand at all VMs that the rate allows.
 func (l *Limiter) admitProbability(b *bucket, units float64, now time.Time) float64 {
 	localProbability := b.localLevel / units
 	if perSecond, ok := l.totalDemand(b, now); ok {
--- a/internal/teamrate/limiter.go
+++ b/internal/teamrate/limiter.go
@@ -319,8 +319,8 @@
 	b.level = min(b.level+units, l.capacity(b.limit))
 }
 
-// Level returns what is left of a team's bucket and of this VM's local tokens for it, in
-// units.
+// Level returns what is left of a team's bucket, and how much this VM may still admit for it
+// while the bucket is low, in units.
 func (l *Limiter) Level(team string) (level, local float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/traffic/acquire.go
+++ b/internal/traffic/acquire.go
@@ -17,24 +17,24 @@
 		j.reserved = nil
 		return reserved, nil
 	}
-	ask, began := j.ask(), time.Now()
+	req, began := j.assignRequest(), time.Now()
 	adapterRequests := 0
 	for {
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
 		freed := j.core.options.Assigner.Freed()
-		choice, err := j.core.options.Assigner.Choose(ask, time.Now())
+		choice, err := j.core.options.Assigner.Choose(req, time.Now())
 		if err == nil {
 			return choice, nil
 		}
 		if errors.Is(err, assign.ErrAdapterNotLoaded) && adapterRequests < maxAdapterRequests {
 			adapterRequests++
-			if j.ensureAdapter(ctx, ask) {
+			if j.ensureAdapter(ctx, req) {
 				continue
 			}
 		}
-		if !j.mayHold(ask, began, err) {
+		if !j.mayHold(req, began, err) {
 			return nil, err
 		}
 		awaitFreed(ctx, freed)
@@ -43,12 +43,12 @@
 
 // mayHold reports whether a request that has been waiting for a slot since began may be held
 // further after the refusal err.
-func (j *job) mayHold(ask assign.Request, began time.Time, err error) bool {
+func (j *job) mayHold(req assign.Request, began time.Time, err error) bool {
 	var refused *assign.Refused
 	if !errors.As(err, &refused) || !refused.Holdable {
 		return false
 	}
-	until := ask.HoldUntil(j.request.Arrived, err)
+	until := req.HoldUntil(j.request.Arrived, err)
 	repeated := began.Add(j.due.Sub(j.request.Arrived) / repeatHoldDivisor)
 	if j.sends > 0 && repeated.After(until) {
 		until = repeated
@@ -65,7 +65,7 @@
 	repeatHoldDivisor = 4
 )
 
-func (j *job) ask() assign.Request {
+func (j *job) assignRequest() assign.Request {
 	if j.parts == nil && len(j.request.Parts) > 0 {
 		ids := make([]string, len(j.request.Parts))
 		tokens := make([]int, len(j.request.Parts))
@@ -81,14 +81,14 @@
 	}
 }
 
-func (j *job) ensureAdapter(ctx context.Context, ask assign.Request) bool {
+func (j *job) ensureAdapter(ctx context.Context, req assign.Request) bool {
 	ctx, cancel := context.WithTimeout(ctx, min(ensureTimeout, time.Until(j.deadline)))
 	defer cancel()
-	instance, err := j.core.options.EnsureAdapter(ctx, ask.Service, ask.Model, ask.Adapter)
+	instance, err := j.core.options.EnsureAdapter(ctx, req.Service, req.Model, req.Adapter)
 	if err != nil || instance == "" {
 		return false
 	}
-	j.core.options.Assigner.AddAdapter(instance, ask.Model, ask.Adapter)
+	j.core.options.Assigner.AddAdapter(instance, req.Model, req.Adapter)
 	return true
 }
 
--- a/internal/traffic/handover.go
+++ b/internal/traffic/handover.go
@@ -42,7 +42,7 @@
 // meanwhile.
 type handover struct {
 	job      *job
-	ask      assign.Request
+	request  assign.Request
 	instance string
 	// silenceTimeout is how long the upstream may send nothing, queuedTimeout the same for
 	// an engine that still sends events of other streams.
@@ -63,12 +63,12 @@
 	if !j.route.Repeatable() || j.possibleRuns+1 >= j.route.Attempts || j.route.Objective == 0 || j.sends >= maxSends {
 		return nil
 	}
-	h := &handover{job: j, ask: j.ask(), instance: choice.Instance, cancel: cancel, lastEvent: time.Now()}
-	h.ask.Avoid = maps.Clone(j.avoid)
-	if h.ask.Avoid == nil {
-		h.ask.Avoid = make(map[string]bool)
+	h := &handover{job: j, request: j.assignRequest(), instance: choice.Instance, cancel: cancel, lastEvent: time.Now()}
+	h.request.Avoid = maps.Clone(j.avoid)
+	if h.request.Avoid == nil {
+		h.request.Avoid = make(map[string]bool)
 	}
-	h.ask.Avoid[choice.Instance] = true
+	h.request.Avoid[choice.Instance] = true
 	h.silenceTimeout = time.Duration(repeatAfter * float64(j.route.Objective))
 	if j.route.Kind == catalog.Streaming {
 		h.silenceTimeout = max(minStreamSilence, 3*choice.Expected)
@@ -127,7 +127,7 @@
 	if h.job.deadline.Sub(now) < minTimeLeft {
 		return nil
 	}
-	choice, err := o.Assigner.Choose(h.ask, now)
+	choice, err := o.Assigner.Choose(h.request, now)
 	if err != nil {
 		return nil
 	}
--- a/internal/traffic/metrics.go
+++ b/internal/traffic/metrics.go
@@ -23,8 +23,9 @@
 	}
 }
 
-// countLateness counts the way in which a response was late, and records the longest pause
-// of a stream in percent of its route's objective.
+// countLateness counts the way in which a response was late. For an answered stream with at
+// least two events it also records the longest pause between events, in percent of its route's
+// gap objective, if the route has one.
 func (c *Core) countLateness(j *job) {
 	if c.options.Metrics == nil {
 		return
--- a/internal/vm/aggregator.go
+++ b/internal/vm/aggregator.go
@@ -22,13 +22,13 @@
 // aggregator adds up the reports of other VMs, for the reports in which this VM represents
 // them.
 type aggregator struct {
-	mu       sync.Mutex
-	version  aggregate.Version
-	admitted *aggregate.Counters[aggregate.Count]
-	asked    *aggregate.Counters[aggregate.Count]
-	demand   *aggregate.Counters[assign.Demand]
-	loads    *aggregate.Levels[assign.Load]
-	roster   *roster
+	mu        sync.Mutex
+	version   aggregate.Version
+	admitted  *aggregate.Counters[aggregate.Count]
+	requested *aggregate.Counters[aggregate.Count]
+	demand    *aggregate.Counters[assign.Demand]
+	loads     *aggregate.Levels[assign.Load]
+	roster    *roster
 	// inUse holds the adapters in use at other VMs, by VM.
 	inUse map[string]adaptersInUse
 	own   work
@@ -45,10 +45,10 @@
 // work is the work of one VM or the sum of several.
 type work struct {
 	admitted map[string]float64
-	// asked is what each team requested, admitted or not.
-	asked  map[string]float64
-	demand map[string]assign.Demand
-	loads  map[string]assign.Load
+	// requested is what each team requested, admitted or not.
+	requested map[string]float64
+	demand    map[string]assign.Demand
+	loads     map[string]assign.Load
 	// inUse lists the adapters used by requests in flight.
 	inUse []string
 }
@@ -56,7 +56,7 @@
 func newAggregator(started int64) *aggregator {
 	a := &aggregator{inUse: make(map[string]adaptersInUse)}
 	a.admitted = aggregate.NewCounters[aggregate.Count](started, &a.version)
-	a.asked = aggregate.NewCounters[aggregate.Count](started, &a.version)
+	a.requested = aggregate.NewCounters[aggregate.Count](started, &a.version)
 	a.demand = aggregate.NewCounters[assign.Demand](started, &a.version)
 	a.loads = aggregate.NewLevels[assign.Load](loadsLifetime, &a.version)
 	a.roster = newRoster(&a.version)
@@ -72,7 +72,7 @@
 		return false
 	}
 	a.admitted.Record(r.Vm, r.Incarnation, sameDomain, toCounts(r.Admitted), now)
-	a.asked.Record(r.Vm, r.Incarnation, sameDomain, toCounts(r.Asked), now)
+	a.requested.Record(r.Vm, r.Incarnation, sameDomain, toCounts(r.Asked), now)
 	a.demand.Record(r.Vm, r.Incarnation, sameDomain, demandFromProto(r.Demand), now)
 	a.inUse[r.Vm] = adaptersInUse{at: now, sameDomain: sameDomain, items: r.InUse}
 	return true
@@ -95,7 +95,7 @@
 	}
 	a.own, a.ownAt = own(), now
 	a.admitted.SetOwn(toCounts(a.own.admitted))
-	a.asked.SetOwn(toCounts(a.own.asked))
+	a.requested.SetOwn(toCounts(a.own.requested))
 	a.demand.SetOwn(a.own.demand)
 	a.loads.SetOwn(a.own.loads)
 }
@@ -121,7 +121,7 @@
 	loads := a.loads.Since(covered, since, receiver, now)
 	out.Since, out.Version = since, a.version.Number()
 	out.Admitted = toFloats(a.admitted.Since(covered, since, receiver))
-	out.Asked = toFloats(a.asked.Since(covered, since, receiver))
+	out.Asked = toFloats(a.requested.Since(covered, since, receiver))
 	for id, l := range loads {
 		out.Engines = append(out.Engines, loadToProto(id, loadForScope(l, scope)))
 	}
--- a/internal/vm/cluster_test.go
+++ b/internal/vm/cluster_test.go
@@ -212,7 +212,7 @@
 	err error
 }
 
-func (c *cluster) ask(v *testVM, q call) answer {
+func (c *cluster) send(v *testVM, q call) answer {
 	c.t.Helper()
 	r, err := http.NewRequest(q.method, "http://"+v.settings.Callers+q.path, strings.NewReader(q.body))
 	require.NoError(c.t, err)
@@ -237,13 +237,13 @@
 	return answer{status: response.StatusCode, header: response.Header, body: string(body), err: err}
 }
 
-// askAgain repeats a request until the answer has no Retry-After header, waiting as long as
+// sendUntilAccepted repeats a request until the answer has no Retry-After header, waiting as long as
 // the header says.
-func (c *cluster) askAgain(v *testVM, q call) answer {
+func (c *cluster) sendUntilAccepted(v *testVM, q call) answer {
 	c.t.Helper()
 	var got answer
 	c.eventually(func() bool {
-		got = c.ask(v, q)
+		got = c.send(v, q)
 		wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		if err != nil {
 			return true
--- a/internal/vm/configuration_lag_test.go
+++ b/internal/vm/configuration_lag_test.go
@@ -17,24 +17,24 @@
 	c := newCluster(t, standin.NewReplica("clerk-1", 0))
 	v := c.start("vm-1")
 	unknown := call{method: "GET", path: "/added/"}
-	require.Equal(t, http.StatusNotFound, c.ask(v, unknown).status)
+	require.Equal(t, http.StatusNotFound, c.send(v, unknown).status)
 
 	newer := v.configuration().Revision + 1
 	v.configurationLag.peerHas(newer, time.Now())
 	require.True(t, v.ready(), "the VM stays ready while the configuration may still arrive in time")
-	got := c.ask(v, unknown)
+	got := c.send(v, unknown)
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.NotEmpty(t, got.header.Get("Retry-After"))
 	withKey := call{method: "GET", path: "/look/", header: map[string]string{"Authorization": "Token added"}}
-	require.Equal(t, http.StatusServiceUnavailable, c.ask(v, withKey).status)
-	require.Equal(t, http.StatusOK, c.ask(v, call{method: "GET", path: "/look/"}).status, "a known route must be served")
+	require.Equal(t, http.StatusServiceUnavailable, c.send(v, withKey).status)
+	require.Equal(t, http.StatusOK, c.send(v, call{method: "GET", path: "/look/"}).status, "a known route must be served")
 
 	v.configurationLag = configurationLag{applied: newer - 1}
 	v.configurationLag.peerHas(newer, time.Now().Add(-v.settings.Bounds.Configuration-time.Second))
 	require.False(t, v.ready())
 	c.configure(nil)
 	c.eventually(func() bool { return v.ready() })
-	require.Equal(t, http.StatusNotFound, c.ask(v, unknown).status)
+	require.Equal(t, http.StatusNotFound, c.send(v, unknown).status)
 }
 
 // Configurations follow each other faster than they come in force. A VM that is always one
--- a/internal/vm/departures.go
+++ b/internal/vm/departures.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	// departureRetention is how long an incarnation that left is remembered: longer than an
-	// instance goes on serving after it has left.
+	// departureRetention is how long an incarnation that left is remembered at least: longer
+	// than an instance goes on serving after it has left. It is dropped when a later departure is
+	// recorded, or earlier if it is used again.
 	departureRetention = 30 * time.Second
-	// minWritesToReadmit is the number of new entries after which an incarnation that was
-	// gone is used again. A single one may be a delayed heartbeat; a live instance keeps
+	// minWritesToReadmit is the number of new revisions of its entry after which an incarnation
+	// that was gone is used again. A single one may be a delayed heartbeat; a live instance keeps
 	// writing.
 	minWritesToReadmit = 2
 )
 
-// departures remembers incarnations that were seen draining or gone. A draining one never
-// comes back. One whose entry was removed may only have been cut off from the store, and is
-// used again once it keeps writing.
+// departures remembers incarnations that were seen draining or gone. A draining one is not used
+// again while it is remembered. One whose entry was removed may only have been cut off from the
+// store, and is used again once it keeps writing.
 type departures struct {
 	mu            sync.Mutex
 	byIncarnation map[string]*departure
@@ -29,8 +30,8 @@
 type departure struct {
 	recorded time.Time
 	draining bool
-	// writes is the number of entries seen since the departure, revision that of the newest
-	// one.
+	// writes is the number of revisions of the entry seen since the departure, revision the
+	// last one seen.
 	writes   int
 	revision int64
 }
@@ -42,14 +43,14 @@
 }
 
 // record notes that an incarnation is draining or gone.
-func (d *departures) record(name string, draining bool, now time.Time) {
+func (d *departures) record(incarnation string, draining bool, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if old := d.byIncarnation[name]; old != nil {
+	if old := d.byIncarnation[incarnation]; old != nil {
 		old.draining = old.draining || draining
 		return
 	}
-	d.byIncarnation[name] = &departure{recorded: now, draining: draining}
+	d.byIncarnation[incarnation] = &departure{recorded: now, draining: draining}
 	for n, e := range d.byIncarnation {
 		if now.Sub(e.recorded) > departureRetention {
 			delete(d.byIncarnation, n)
@@ -58,12 +59,13 @@
 }
 
 // excluded reports whether an incarnation must get no work although its entry says that it is
-// ready. storeDown says that the store was unavailable a moment ago, so that leases of live
+// ready. It counts each new revision of the entry, and forgets an incarnation that may be used
+// again. storeFailed says that a call of the store failed a moment ago, so that leases of live
 // instances may have lapsed.
-func (d *departures) excluded(name string, revision int64, storeDown bool) bool {
+func (d *departures) excluded(incarnation string, revision int64, storeFailed bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	e := d.byIncarnation[name]
+	e := d.byIncarnation[incarnation]
 	if e == nil {
 		return false
 	}
@@ -74,15 +76,15 @@
 		e.revision = revision
 		e.writes++
 	}
-	if storeDown || e.writes >= minWritesToReadmit {
-		delete(d.byIncarnation, name)
+	if storeFailed || e.writes >= minWritesToReadmit {
+		delete(d.byIncarnation, incarnation)
 		return false
 	}
 	return true
 }
 
-// names returns the incarnations that are remembered as draining or gone.
-func (d *departures) names() []string {
+// incarnations returns the incarnations that are remembered as draining or gone.
+func (d *departures) incarnations() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := make([]string, 0, len(d.byIncarnation))
--- a/internal/vm/departures_test.go
+++ b/internal/vm/departures_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An instance is draining, and a heartbeat sent before that arrives late at the store. Its
-// entry says ready again; requests sent there would be cut off when the instance exits.
+// An instance is draining, and a heartbeat that it sent while it was ready reaches the store
+// late. Its entry says ready again; requests sent to the instance would be cut off when it exits.
 func TestLateHeartbeatDoesNotReviveADrainingInstance(t *testing.T) {
 	d, now := newDepartures(), time.Now()
 	d.record("i@1", true, now)
@@ -21,7 +21,7 @@
 // An instance is cut off from the store for a while and its entry is removed. When it keeps
 // writing afterwards it has to be used again, or it would be lost for good. A single entry
 // may be a delayed heartbeat.
-func TestInstanceThatWritesOnCountsAgain(t *testing.T) {
+func TestInstanceThatKeepsWritingIsReadmitted(t *testing.T) {
 	d, now := newDepartures(), time.Now()
 	d.record("i@1", false, now)
 	require.True(t, d.excluded("i@1", 10, false))
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -66,7 +66,7 @@
 
 // usableHub returns the first hub that is not in backoff.
 func (t *tracker) usableHub(now time.Time) (address string, ok bool) {
-	hubs := t.relay.hubs()
+	hubs := t.hubClient.hubs()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, hub := range hubs {
@@ -80,7 +80,7 @@
 // allHubsFailed reports whether this VM has hubs to follow, and watches the store since all
 // of them are in backoff.
 func (t *tracker) allHubsFailed() bool {
-	if len(t.relay.hubs()) == 0 {
+	if len(t.hubClient.hubs()) == 0 {
 		return false
 	}
 	_, follows := t.usableHub(time.Now())
@@ -99,7 +99,7 @@
 	in := &peerpb.FollowRequest{}
 	for ctx.Err() == nil {
 		in.Held = t.heldRevisions()
-		answer, took, err := t.relay.follow(ctx, address, in)
+		answer, took, err := t.hubClient.follow(ctx, address, in)
 		applied := false
 		if err == nil {
 			applied, err = t.applyHubView(answer, time.Now().Add(-took))
--- a/internal/vm/follow_test.go
+++ b/internal/vm/follow_test.go
@@ -32,16 +32,16 @@
 
 // Fourteen VMs that all watch the store would cost fourteen waiting calls. One VM of each
 // failure domain watches, and the others learn of a new configuration and of a draining
-// replica through it. Then the store refuses one hub, and the VMs behind it must not go on
-// with an old view: a key that is withdrawn meanwhile has to stop working there too, first
-// through the other failure domain's hub, and without any hub once the store refuses that one
-// as well.
-func TestVMsFollowTheirHubAndDoWithoutIt(t *testing.T) {
+// replica through it. Then the store refuses one hub. The VMs that followed it must not go on
+// with an outdated view: a configuration that withdraws a key must come in force there too. They
+// get it first through the other failure domain's hub, and then, once the store refuses that
+// one as well, without any hub.
+func TestVMsFollowTheirHubOrWatchTheStore(t *testing.T) {
 	c := newCluster(t, standin.NewReplica("clerk-1", 0), standin.NewReplica("clerk-2", 0))
-	for i := range minPauseMaxVMs + 2 {
+	for i := range meshMaxVMs + 2 {
 		c.startIn(fmt.Sprintf("vm-%02d", i), fmt.Sprint(i%2))
 	}
-	c.eventually(func() bool { return c.nonWatchingVMs() == minPauseMaxVMs })
+	c.eventually(func() bool { return c.nonWatchingVMs() == meshMaxVMs })
 	c.configure(nil)
 	c.setReplicaState("clerk-2", "draining")
 	for _, v := range c.vms {
@@ -49,11 +49,11 @@
 		c.eventually(func() bool { return v.instance("clerk-2").Draining })
 	}
 	c.vms[0].storeRefuses.Store(true)
-	behind := c.vms[2:]
-	c.eventually(func() bool { return c.backingOff(behind, c.vms[0]) == minPauseMaxVMs/2 })
+	followers := c.vms[2:]
+	c.eventually(func() bool { return c.backingOff(followers, c.vms[0]) == meshMaxVMs/2 })
 	c.replaceKeys("another")
 	c.vms[1].storeRefuses.Store(true)
-	c.eventually(func() bool { return c.nonWatchingVMs() < minPauseMaxVMs-2 })
+	c.eventually(func() bool { return c.nonWatchingVMs() < meshMaxVMs-2 })
 	c.replaceKeys("a third")
 }
 
@@ -103,7 +103,7 @@
 				value := bytes.Repeat([]byte(fmt.Sprint(revision)), rapid.SampledFrom([]int{1, 1, 1, 1, 1, patch.MinBytes}).Draw(t, "size"))
 				items[key] = store.Item{Key: key, Value: value, Revision: revision}
 			}
-			hub.replaceViewByKey(items, revision)
+			hub.publishItems(items, revision)
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
 				in = &peerpb.FollowRequest{Incarnation: 1, Change: 3}
 			}
@@ -111,6 +111,7 @@
 				continue
 			}
 			in.Held = follower.heldRevisions()
+			// 7 is the hub's incarnation.
 			answer, err := hub.answerFollow(noWait, 7, in)
 			if err != nil {
 				t.Fatal(err)
@@ -133,13 +134,13 @@
 }
 
 // Over a narrow link a large answer takes longer than the largest age of a hub's view. If it
-// were discarded on completion, it would be requested again and again; it only counts as less
-// fresh.
-func TestAnswerThatTookLongIsTaken(t *testing.T) {
+// were discarded on completion, it would be requested again and again. It is applied, and the
+// time that it took adds to the age of the view.
+func TestSlowAnswerIsApplied(t *testing.T) {
 	f := testTracker()
 	ctx, cancel := context.WithCancel(t.Context())
 	took := 2 * f.maxHubViewAge
-	f.relay = hubClient{
+	f.hubClient = hubClient{
 		hubs: func() []string { return []string{"hub"} },
 		follow: func(context.Context, string, *peerpb.FollowRequest) (*peerpb.FollowResponse, time.Duration, error) {
 			cancel()
@@ -152,13 +153,13 @@
 	require.False(t, f.allHubsFailed())
 }
 
-// The hub of a failure domain dies, or the store refuses it. If fifty VMs then read the store
-// themselves, that would cost the store more than all hubs do in a minute; the hubs of other
-// failure domains have the same view. If none of them serves, the VM has to watch the store
-// after all.
-func TestVMWhoseHubFailsFollowsAnotherDomains(t *testing.T) {
+// The hub of a failure domain dies, or the store refuses it. If the fifty VMs that follow it read
+// the store themselves, that would cost the store more than all hubs do in a minute. The hubs of
+// other failure domains have the same view, so the VMs follow one of those. A VM watches the
+// store itself only if no hub serves it.
+func TestVMWhoseHubFailsFollowsHubOfAnotherDomain(t *testing.T) {
 	f := testTracker()
-	f.relay = hubClient{hubs: func() []string { return []string{"own", "far"} }}
+	f.hubClient = hubClient{hubs: func() []string { return []string{"own", "far"} }}
 	now := time.Now()
 	firstUsable := func(at time.Time) string {
 		hub, _ := f.usableHub(at)
@@ -187,13 +188,13 @@
 }
 
 // The store is unavailable to all VMs, so that hubs cannot be followed either. When the hubs
-// reach it again and this VM does not, the VM must not keep retrying the store alone: it
-// would route by its view of before the outage for as long as the store refuses it.
-func TestVMThatTheStoreTurnsAwayReturnsToItsHub(t *testing.T) {
+// reach it again and this VM does not, the VM must return to its hub. If it only retried the
+// store, it would route by its view from before the outage for as long as the store refuses it.
+func TestVMThatCannotReadTheStoreReturnsToItsHub(t *testing.T) {
 	f := testTracker()
 	f.store = unavailableStore{}
 	ctx, cancel := context.WithCancel(t.Context())
-	f.relay = hubClient{
+	f.hubClient = hubClient{
 		hubs: func() []string { return []string{"hub"} },
 		follow: func(context.Context, string, *peerpb.FollowRequest) (*peerpb.FollowResponse, time.Duration, error) {
 			cancel()
@@ -204,34 +205,34 @@
 	require.Equal(t, int64(9), f.viewRevision())
 }
 
-// The store refuses a third of three hundred VMs for nine seconds. Each of them retried seven
-// times a second, and the store had to answer every retry.
+// The store refuses a third of three hundred VMs for nine seconds. Without backoff, each of them
+// would retry seven times a second, and the store would have to answer every retry.
 func TestRetriesOfALargeFleetGrowRarer(t *testing.T) {
 	f := testTracker()
 	require.Equal(t, minRetryPause, f.retryAfter(0))
 	require.Equal(t, 2*f.hubWatchPause, f.retryAfter(9))
-	f.vmCount = func() int { return minPauseMaxVMs }
+	f.vmCount = func() int { return meshMaxVMs }
 	require.Equal(t, minRetryPause, f.retryAfter(9))
 }
 
 // A VM has read the store itself when it returns to its hub, whose view is older. Its own
 // view must not go back: a replica that left would get requests again.
-func TestHubThatLagsBehindUndoesNothing(t *testing.T) {
+func TestOlderViewOfHubIsNotApplied(t *testing.T) {
 	f, now := testTracker(), time.Now()
-	f.replaceViewByKey(map[string]store.Item{"a": {Key: "a", Revision: 9}}, 9)
-	behind := &peerpb.FollowResponse{Revision: 8, Whole: true, FailedMs: -1}
-	applied, err := f.applyHubView(behind, now)
+	f.publishItems(map[string]store.Item{"a": {Key: "a", Revision: 9}}, 9)
+	older := &peerpb.FollowResponse{Revision: 8, Whole: true, FailedMs: -1}
+	applied, err := f.applyHubView(older, now)
 	require.NoError(t, err)
 	require.False(t, applied)
 	require.Contains(t, f.view.items, "a")
-	_, err = f.applyHubView(behind, now.Add(f.maxHubViewAge+time.Second))
+	_, err = f.applyHubView(older, now.Add(f.maxHubViewAge+time.Second))
 	require.ErrorIs(t, err, ErrHubStale, "a hub that does not catch up must not be followed")
 }
 
 // Leases lapse while the store is unavailable, though the replicas live. A follower learns
 // from its hub that the store was unavailable. Otherwise it would treat each replica that
 // writes again as one that had left.
-func TestFollowerKnowsThatTheStoreWasAway(t *testing.T) {
+func TestFollowerLearnsThatStoreWasUnavailable(t *testing.T) {
 	f, now := testTracker(), time.Now()
 	require.False(t, f.failedWithin(now, immediateReturnTime))
 	_, err := f.applyHubView(&peerpb.FollowResponse{Revision: 1, FailedMs: 1000}, now)
@@ -249,8 +250,8 @@
 	return newTracker(nil, zerolog.Nop(), func(view) {}, func() int { return 60 }, 3*time.Second, hubClient{})
 }
 
-// replaceViewByKey replaces the items of the view.
-func (t *tracker) replaceViewByKey(items map[string]store.Item, revision int64) {
+// publishItems publishes a view with the items, which are by key.
+func (t *tracker) publishItems(items map[string]store.Item, revision int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	next := make(map[string]store.Item, len(items))
--- a/internal/vm/gauges.go
+++ b/internal/vm/gauges.go
@@ -61,7 +61,8 @@
 }
 
 // countStoreCall counts store calls by name and outcome, and the bytes received in their
-// answers, including answers that were cut off.
+// answers, including answers that were cut off. The outcome is "no_answer" for
+// store.ErrUnknown, "turned_away" for store.ErrRefused, and "refused" for all other errors.
 func (p *Process) countStoreCall(call platform.StoreCall) {
 	outcome := "ok"
 	switch {
--- a/internal/vm/hubs_test.go
+++ b/internal/vm/hubs_test.go
@@ -33,8 +33,8 @@
 	// applied is how far one VM has applied the reports of another one, by their indices in
 	// vms.
 	applied map[[2]int]progress
-	// asked and refused count units.
-	asked, refused float64
+	// requested and refused count units.
+	requested, refused float64
 	// partitioned reports whether VM i receives nothing from VM j.
 	partitioned func(i, j int) bool
 }
@@ -111,7 +111,7 @@
 	r := &peerpb.VMReport{Vm: s.vms[from].Name, Incarnation: s.incarnations[from]}
 	demand := map[string]assign.Demand{"m": {Work: time.Duration(from) * time.Microsecond, Requests: 1}}
 	s.aggregators[from].setOwn(func() work {
-		return work{admitted: s.limiters[from].Admitted(), asked: s.limiters[from].Demand(), demand: demand}
+		return work{admitted: s.limiters[from].Admitted(), requested: s.limiters[from].Demand(), demand: demand}
 	}, s.now)
 	applied := s.applied[[2]int{to, from}]
 	if applied.scope != scope {
@@ -132,7 +132,7 @@
 	total := 0.0
 	for expected := demand * tick.Seconds() / size; expected > 0 && r.Float64() < expected; expected-- {
 		i := r.IntN(len(s.vms))
-		s.asked += size
+		s.requested += size
 		if ok, _ := s.limiters[i].Admit("team", size, s.now); ok {
 			total += size
 		} else {
@@ -190,9 +190,9 @@
 	r := rand.New(rand.NewPCG(1, 10))
 	s := newHubSimulation()
 	s.run(r, 300, hubTestRate/1.8)
-	s.asked, s.refused = 0, 0
+	s.requested, s.refused = 0, 0
 	s.run(r, 3000, hubTestRate/1.8)
-	require.Less(t, s.refused/s.asked, 0.01)
+	require.Less(t, s.refused/s.requested, 0.01)
 }
 
 // Links between some VMs are cut, and VMs disagree on which ones are silent: a failure domain
@@ -211,7 +211,7 @@
 	s.run(r, 1600, hubTestRate/1.8)
 	s.partitioned = func(int, int) bool { return false }
 	s.run(r, 400, hubTestRate/1.8)
-	s.asked, s.refused = 0, 0
+	s.requested, s.refused = 0, 0
 	s.run(r, 800, hubTestRate/1.8)
-	require.Less(t, s.refused/s.asked, 0.02)
+	require.Less(t, s.refused/s.requested, 0.02)
 }
--- a/internal/vm/instances.go
+++ b/internal/vm/instances.go
@@ -117,12 +117,12 @@
 
 // applyPeerDepartures marks the instances as draining whose incarnations a VM with a newer view of the
 // store has seen draining or gone.
-func (p *Process) applyPeerDepartures(names []string) {
-	if len(names) == 0 {
+func (p *Process) applyPeerDepartures(incarnations []string) {
+	if len(incarnations) == 0 {
 		return
 	}
-	left := make(map[string]bool, len(names))
-	for _, n := range names {
+	left := make(map[string]bool, len(incarnations))
+	for _, n := range incarnations {
 		left[n] = true
 	}
 	next := make(map[string]*upstream.Instance)
--- a/internal/vm/instances_test.go
+++ b/internal/vm/instances_test.go
@@ -10,12 +10,12 @@
 	"github.com/chestnutarch/chestnutarch/platform"
 )
 
-// A view of hundreds of upstreams changes several times a second, mostly in one entry. A VM that
-// parsed all entries each time spent most of its processor time on it.
+// A view of hundreds of upstreams changes several times a second, mostly in one entry. Parsing
+// all entries each time would take most of a VM's processor time.
 func TestOnlyChangedEntryIsParsed(t *testing.T) {
-	reads := 0
+	parses := 0
 	e := newInstanceEntries(func(item store.Item) (*upstream.Instance, error) {
-		reads++
+		parses++
 		return platform.Instance(item)
 	})
 	items := make(map[string]store.Item)
@@ -27,18 +27,18 @@
 	}
 	items["other"] = store.Item{Key: "other", Revision: 1}
 	require.Empty(t, e.update(items))
-	require.Equal(t, 3, reads)
+	require.Equal(t, 3, parses)
 
 	e2 := items[platform.InstancePrefix+"e2"]
 	e2.Revision, e2.Value = 2, []byte(`{`)
 	items[e2.Key] = e2
 	require.Len(t, e.update(items), 1)
 	require.Empty(t, e.update(items), "an entry that cannot be parsed must be returned only once per revision")
-	require.Equal(t, 4, reads)
+	require.Equal(t, 4, parses)
 	require.Nil(t, e.byKey[e2.Key].instance)
 
 	delete(items, e2.Key)
 	require.Empty(t, e.update(items))
 	require.Len(t, e.byKey, 2)
-	require.Equal(t, 4, reads)
+	require.Equal(t, 4, parses)
 }
--- a/internal/vm/inventory.go
+++ b/internal/vm/inventory.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	// inventoryQuietTime is how long no further engine must have been found for the inventory
-	// to count as complete, maxInventoryTime the longest wait for that. Engines that start
+	// inventoryQuietTime is the time after the last engine was found from which the inventory
+	// counts as complete, maxInventoryTime the longest wait for that. Engines that start
 	// together appear in the store within one heartbeat, about a second.
 	inventoryQuietTime = 1300 * time.Millisecond
 	maxInventoryTime   = 4 * time.Second
 	// demandWarmup is how long requests must have been observed before they show which models
 	// are in demand.
 	demandWarmup = 3 * time.Second
-	// minWideCopies is the number of engines that must hold a model for it to count as placed
-	// for demand.
+	// minWideCopies is the number of engines on which a model must be found at startup for this
+	// VM to assume that it was placed on them because of the demand for it.
 	minWideCopies = 3
 	// assumedDemandPerCopy is the fraction of an engine's time that each copy of such a model
 	// is assumed to need.
@@ -31,10 +31,10 @@
 	firstFoundAt, lastFoundAt, firstRequestAt time.Time
 }
 
-// recordFound records an engine that was read. The models that a previous leader left on it were
+// recordFound records an engine whose state was read. The models that a previous leader left on it were
 // requested recently, so they count as used now unless this VM has observed requests for longer
-// than modelIdleTime itself. Otherwise, after a restart of all VMs, models without requests since
-// the restart would be evicted by the dozen. It must be called with the lock held.
+// than modelIdleTime itself. Otherwise, after a restart of all VMs, dozens of models without
+// requests since the restart would be evicted. It must be called with the lock held.
 func (l *planner) recordFound(state *engineState, hasPredecessor bool, now time.Time) {
 	f := &l.startup
 	if hasPredecessor && !f.observedRequestsFor(modelIdleTime, now) {
@@ -60,7 +60,8 @@
 	}
 }
 
-// incomplete reports whether more engines are likely to be found soon.
+// incomplete reports whether more engines are likely to be found soon. It is false before the
+// first engine is found, and once a request has been observed.
 func (f *startupInventory) incomplete(now time.Time) bool {
 	return f.firstRequestAt.IsZero() && now.Sub(f.lastFoundAt) < inventoryQuietTime && now.Sub(f.firstFoundAt) < maxInventoryTime
 }
@@ -76,7 +77,7 @@
 	return f.observedRequestsFor(demandWarmup, now)
 }
 
-// widelyPlaced reports whether a model was found on enough engines to count as placed for demand.
+// widelyPlaced reports whether a model was found on at least minWideCopies engines.
 func (f *startupInventory) widelyPlaced(model string) bool { return f.copies[model] >= minWideCopies }
 
 // assumedDemand is the assumed demand for a model, in engine time per second, until demandKnown.
--- a/internal/vm/large_configuration_test.go
+++ b/internal/vm/large_configuration_test.go
@@ -137,7 +137,7 @@
 func (c *cluster) startWithNarrowLinks() (toVMs *link, toStore []*link) {
 	toVMs = newLinks(c.t, narrowLink/scaleDown)
 	c.registerPeersBehind(toVMs)
-	for i := range minPauseMaxVMs + 2 {
+	for i := range meshMaxVMs + 2 {
 		spec := vmSpec{name: fmt.Sprintf("vm-%02d", i), domain: fmt.Sprint(i % 2), linkMbps: 200, configurationDeadline: largeFleetConfigurationDeadline}
 		if i >= 2 {
 			spec.linkMbps, spec.link = 10, newLink(c.t, narrowLink/scaleDown)
@@ -145,7 +145,7 @@
 		}
 		c.startAs(spec)
 	}
-	c.eventually(func() bool { return c.nonWatchingVMs() == minPauseMaxVMs })
+	c.eventually(func() bool { return c.nonWatchingVMs() == meshMaxVMs })
 	return toVMs, toStore
 }
 
--- a/internal/vm/path_test.go
+++ b/internal/vm/path_test.go
@@ -14,12 +14,12 @@
 func TestStreamsAndCallsThroughTwoVMs(t *testing.T) {
 	c := newCluster(t, standin.NewReplica("engine-1", 2, "m0"), standin.NewReplica("clerk-1", 0))
 	for _, v := range []*testVM{c.start("a"), c.start("b")} {
-		got := c.ask(v, call{method: "POST", path: "/chat/x%2Fy?z=1", model: "m0", body: "hello"})
+		got := c.send(v, call{method: "POST", path: "/chat/x%2Fy?z=1", model: "m0", body: "hello"})
 		require.NoError(t, got.err)
 		require.Equal(t, http.StatusOK, got.status)
 		require.Equal(t, sseBody(1, 2, 3), got.body)
 		require.Equal(t, "sig-engine-1", got.header.Get("X-Chestnutarch-Response-Signature"))
-		got = c.ask(v, call{method: "POST", path: "/file/1", body: "deed"})
+		got = c.send(v, call{method: "POST", path: "/file/1", body: "deed"})
 		require.Equal(t, "done by clerk-1", got.body)
 	}
 	run := c.replicas["engine-1"].Runs()[0]
@@ -38,7 +38,7 @@
 		"X-Chestnutarch-Kv-Backup": "1.2.3.4:5", "Kv-From": "x", "Kv-Fetch": "y", "X-Chestnutarch-Expected-Version": "7",
 		"X-Chestnutarch-Expected-Instance": "engine-9", "X-Kept": "yes",
 	}
-	require.Equal(t, http.StatusOK, c.ask(v, call{method: "POST", path: "/chat/", model: "m0", header: forged}).status)
+	require.Equal(t, http.StatusOK, c.send(v, call{method: "POST", path: "/chat/", model: "m0", header: forged}).status)
 	run := c.replicas["engine-1"].Runs()[0]
 	require.Equal(t, "writers", run.Tenant)
 	require.Equal(t, "yes", run.Header.Get("X-Kept"))
@@ -51,10 +51,10 @@
 func TestRefusalsOfOurOwn(t *testing.T) {
 	c := newCluster(t, standin.NewReplica("clerk-1", 0))
 	v := c.start("a")
-	require.Equal(t, http.StatusNotFound, c.ask(v, call{method: "GET", path: "/nowhere/"}).status)
-	require.Equal(t, http.StatusUnauthorized, c.ask(v, call{method: "GET", path: "/look/", header: map[string]string{"Authorization": "Token no"}}).status)
-	require.Equal(t, http.StatusBadRequest, c.ask(v, call{method: "GET", path: "/look/", header: map[string]string{"X-Chestnutarch-Token-Counts": "many"}}).status)
-	require.Equal(t, http.StatusRequestEntityTooLarge, c.ask(v, call{method: "POST", path: "/file/", body: strings.Repeat("x", 2<<20)}).status)
+	require.Equal(t, http.StatusNotFound, c.send(v, call{method: "GET", path: "/nowhere/"}).status)
+	require.Equal(t, http.StatusUnauthorized, c.send(v, call{method: "GET", path: "/look/", header: map[string]string{"Authorization": "Token no"}}).status)
+	require.Equal(t, http.StatusBadRequest, c.send(v, call{method: "GET", path: "/look/", header: map[string]string{"X-Chestnutarch-Token-Counts": "many"}}).status)
+	require.Equal(t, http.StatusRequestEntityTooLarge, c.send(v, call{method: "POST", path: "/file/", body: strings.Repeat("x", 2<<20)}).status)
 	require.Empty(t, c.replicas["clerk-1"].Runs())
 }
 
@@ -83,7 +83,7 @@
 	one, two := standin.NewReplica("clerk-1", 0), standin.NewReplica("clerk-2", 0)
 	one.Fail, two.Fail = abort, abort
 	c := newCluster(t, one, two)
-	got := c.ask(c.start("a"), call{method: "POST", path: "/file/1", body: "deed"})
+	got := c.send(c.start("a"), call{method: "POST", path: "/file/1", body: "deed"})
 	require.Equal(t, http.StatusBadGateway, got.status)
 	require.Empty(t, got.header.Get("Retry-After"))
 	require.Len(t, append(one.Runs(), two.Runs()...), 1)
@@ -98,7 +98,7 @@
 	v := c.start("a")
 	one.Fail = abort
 	for range 6 {
-		got := c.ask(v, call{method: "GET", path: "/look/1"})
+		got := c.send(v, call{method: "GET", path: "/look/1"})
 		require.Equal(t, http.StatusOK, got.status)
 		require.Equal(t, "done by clerk-2", got.body)
 	}
@@ -115,7 +115,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	for range 4 {
-		require.Equal(t, "done by clerk-2", c.ask(v, call{method: "POST", path: "/file/1"}).body)
+		require.Equal(t, "done by clerk-2", c.send(v, call{method: "POST", path: "/file/1"}).body)
 	}
 }
 
@@ -127,12 +127,12 @@
 	c := newCluster(t, one, two)
 	v := c.start("a")
 	q := call{method: "POST", path: "/draft/", model: "m0"}
-	require.Equal(t, sseBody(1, 2, 3), c.ask(v, q).body)
+	require.Equal(t, sseBody(1, 2, 3), c.send(v, q).body)
 	if len(one.Runs()) == 0 {
 		one, two = two, one
 	}
 	one.CutNextStream(1)
-	got := c.ask(v, q)
+	got := c.send(v, q)
 	require.NoError(t, got.err)
 	require.Equal(t, sseBody(1, 2, 3), got.body)
 	runs := two.Runs()
@@ -146,7 +146,7 @@
 	one := standin.NewReplica("engine-1", 2, "m0")
 	one.CutNextStream(2)
 	c := newCluster(t, one, standin.NewReplica("engine-2", 2))
-	got := c.ask(c.start("a"), call{method: "POST", path: "/chat/", model: "m0"})
+	got := c.send(c.start("a"), call{method: "POST", path: "/chat/", model: "m0"})
 	require.Error(t, got.err)
 	require.Equal(t, sseBody(1, 2), got.body)
 	require.Len(t, one.Runs(), 1)
@@ -162,7 +162,7 @@
 	c.configure(func(config map[string]any) {
 		config["tenants"].([]any)[0].(map[string]any)["keys"] = []string{"another"}
 	})
-	c.eventually(func() bool { return c.ask(b, call{method: "GET", path: "/look/"}).status == http.StatusUnauthorized })
+	c.eventually(func() bool { return c.send(b, call{method: "GET", path: "/look/"}).status == http.StatusUnauthorized })
 }
 
 // A replica is draining. Within two seconds no VM sends it anything, though its entry is
@@ -175,7 +175,7 @@
 	c.eventually(func() bool { i := v.instance("clerk-1"); return i != nil && i.Draining })
 	before := len(one.Runs())
 	for range 6 {
-		require.Equal(t, http.StatusOK, c.ask(v, call{method: "GET", path: "/look/"}).status)
+		require.Equal(t, http.StatusOK, c.send(v, call{method: "GET", path: "/look/"}).status)
 	}
 	require.Len(t, one.Runs(), before)
 }
@@ -191,10 +191,10 @@
 		config["routes"] = append(config["routes"].([]any), map[string]any{"name": 5}, map[string]any{"name": "odd", "kind": "dance"})
 	})
 	c.eventually(func() bool { return v.core.Catalog().Version == int64(c.version) })
-	require.Equal(t, http.StatusOK, c.ask(v, call{method: "GET", path: "/look/"}).status)
+	require.Equal(t, http.StatusOK, c.send(v, call{method: "GET", path: "/look/"}).status)
 	c.store.PutBytes("op/config", []byte("not json"))
 	time.Sleep(2 * (minWatchPause + watchTimeout))
-	require.Equal(t, http.StatusOK, c.ask(v, call{method: "GET", path: "/look/"}).status)
+	require.Equal(t, http.StatusOK, c.send(v, call{method: "GET", path: "/look/"}).status)
 }
 
 // A VM is stopped while a request runs and while callers still hold its address. The running
@@ -210,7 +210,7 @@
 		_, _ = w.Write([]byte("late but whole"))
 	}
 	got := make(chan answer, 1)
-	go func() { got <- c.ask(v, call{method: "POST", path: "/file/1"}) }()
+	go func() { got <- c.send(v, call{method: "POST", path: "/file/1"}) }()
 	c.eventually(func() bool { return len(slow.Runs()) == 1 })
 	v.stop()
 	require.Equal(t, "late but whole", (<-got).body)
@@ -223,7 +223,7 @@
 	one := standin.NewReplica("clerk-1", 0)
 	one.Fail = func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("all is well")) }
 	c := newCluster(t, one)
-	got := c.ask(c.start("a"), call{method: "POST", path: "/file/1"})
+	got := c.send(c.start("a"), call{method: "POST", path: "/file/1"})
 	require.Equal(t, http.StatusBadGateway, got.status)
 	require.Len(t, one.Runs(), 1)
 }
@@ -233,7 +233,7 @@
 func TestRequestWithoutAnIDIsMalformed(t *testing.T) {
 	one := standin.NewReplica("clerk-1", 0)
 	c := newCluster(t, one)
-	got := c.ask(c.start("a"), call{method: "GET", path: "/look/", header: map[string]string{"X-Chestnutarch-Attempt-Id": ""}})
+	got := c.send(c.start("a"), call{method: "GET", path: "/look/", header: map[string]string{"X-Chestnutarch-Attempt-Id": ""}})
 	require.Equal(t, http.StatusBadRequest, got.status)
 	require.Empty(t, one.Runs())
 }
--- a/internal/vm/planner_test.go
+++ b/internal/vm/planner_test.go
@@ -23,7 +23,7 @@
 	if leader == a {
 		other = b
 	}
-	got := c.askAgain(other, call{method: "POST", path: "/chat/", model: "m0/a1"})
+	got := c.sendUntilAccepted(other, call{method: "POST", path: "/chat/", model: "m0/a1"})
 	require.Equal(t, http.StatusOK, got.status, got.body)
 	require.Equal(t, sseBody(1, 2, 3), got.body)
 }
@@ -37,7 +37,7 @@
 	c := newCluster(t, engine)
 	v := c.start("a")
 	c.waitLeader()
-	require.Equal(t, http.StatusOK, c.askAgain(v, call{method: "POST", path: "/chat/", model: "m0/a2"}).status)
+	require.Equal(t, http.StatusOK, c.sendUntilAccepted(v, call{method: "POST", path: "/chat/", model: "m0/a2"}).status)
 	loads := 0
 	orders, _ := engine.Orders()
 	for _, o := range orders {
@@ -74,7 +74,7 @@
 	c := newCluster(t, standin.NewReplica("engine-1", 2, "m0"))
 	v := c.start("a")
 	c.eventually(func() bool {
-		got := c.ask(v, call{method: "POST", path: "/draft/", model: "m1"})
+		got := c.send(v, call{method: "POST", path: "/draft/", model: "m1"})
 		if got.status == http.StatusServiceUnavailable {
 			require.NotEmpty(t, got.header.Get("Retry-After"))
 		}
@@ -228,7 +228,7 @@
 	}
 	other.HoldModelUnloads(false)
 	c.eventually(func() bool {
-		return c.ask(v, call{method: "POST", path: "/draft/", model: "m2"}).status == http.StatusOK
+		return c.send(v, call{method: "POST", path: "/draft/", model: "m2"}).status == http.StatusOK
 	})
 	require.NotNil(t, v.planner.state(waiting.ID), "the state of the engine must stay valid while its unload waits")
 	orders, _ := waiting.Orders()
@@ -236,8 +236,8 @@
 	refusedOrders, _ := waiting.Rejections()
 	require.Equal(t, 1, refusedOrders, "the waiting engine must be read, not sent the load repeatedly")
 	for range 6 {
-		require.Equal(t, http.StatusOK, c.ask(v, call{method: "POST", path: "/draft/", model: remainingModel(waiting)}).status)
-		c.ask(v, call{method: "POST", path: "/draft/", model: unloadedModel(waiting)})
+		require.Equal(t, http.StatusOK, c.send(v, call{method: "POST", path: "/draft/", model: remainingModel(waiting)}).status)
+		c.send(v, call{method: "POST", path: "/draft/", model: unloadedModel(waiting)})
 	}
 	_, requests := waiting.Rejections()
 	require.Zero(t, requests)
@@ -280,7 +280,7 @@
 		config["tenants"].([]any)[0].(map[string]any)["priority"] = 0
 	})
 	v := c.start("a")
-	require.Equal(t, http.StatusOK, c.ask(v, call{method: "POST", path: "/chat/", model: "m0"}).status)
+	require.Equal(t, http.StatusOK, c.send(v, call{method: "POST", path: "/chat/", model: "m0"}).status)
 	require.Equal(t, "1", engine.Runs()[0].Header.Get("X-Chestnutarch-Request-Priority"))
 }
 
--- a/internal/vm/reports.go
+++ b/internal/vm/reports.go
@@ -15,7 +15,7 @@
 		Vm: f.process.settings.VM, Incarnation: f.incarnation, Sequence: f.sequence.Add(1),
 		CallerAddress: f.process.settings.Callers, PeerAddress: f.process.peerAddress(), Ready: f.process.ready(), Leads: leads,
 		ConfigurationRevision: f.process.configuration().Revision, ViewRevision: f.process.tracker.viewRevision(),
-		Leaving: f.process.departures.names(),
+		Leaving: f.process.departures.incarnations(),
 	}
 	scope, since := f.addAcknowledgement(out, receiver)
 	out.Scope = int32(scope)
@@ -52,7 +52,7 @@
 // ownWork returns the work of this VM itself.
 func (f *fleet) ownWork() work {
 	return work{
-		admitted: f.process.limiter.Admitted(), asked: f.process.limiter.Demand(), demand: f.process.assigner.Demand(), loads: f.process.assigner.Loads(), inUse: f.process.assigner.InUse(),
+		admitted: f.process.limiter.Admitted(), requested: f.process.limiter.Demand(), demand: f.process.assigner.Demand(), loads: f.process.assigner.Loads(), inUse: f.process.assigner.InUse(),
 	}
 }
 
--- a/internal/vm/tracker.go
+++ b/internal/vm/tracker.go
@@ -22,11 +22,13 @@
 	watchTimeout = 500 * time.Millisecond
 	// minWatchPause is the shortest time between two watch calls. Instances write constantly, so
 	// a watch returns at once, and without a pause every heartbeat would cost a call of every
-	// VM. A configuration has to be in force within two seconds.
+	// VM. The time within which a configuration has to be in force limits the pause:
+	// platform.Bounds.Configuration, two seconds for example.
 	minWatchPause = 600 * time.Millisecond
-	// minPauseMaxVMs is the number of VMs up to which the pause is minWatchPause: a dozen VMs make
-	// about 20 calls a second.
-	minPauseMaxVMs = 12
+	// meshMaxVMs is the largest number of VMs that need no hubs, as topology.MeshLimit is: all of
+	// them watch the store with the pause minWatchPause, and retry failed calls without backoff. A
+	// dozen VMs make about 20 calls a second.
+	meshMaxVMs = 12
 	// minRetryPause is the shortest time between attempts while the store does not answer.
 	minRetryPause = 150 * time.Millisecond
 	// lapsedGrace is how long after the last failed call of the store an entry that has
@@ -38,17 +40,18 @@
 // view is the state of the store as this VM knows it.
 type view struct {
 	items map[string]store.Item
-	// revision is the store's revision that the view stands for.
+	// revision is the revision of the store up to which the items contain all changes.
 	revision int64
 }
 
 // tracker keeps a view of all keys of the store, with one watch or through a hub.
 type tracker struct {
-	store   store.Store
-	log     zerolog.Logger
-	changed func(view)
-	relay   hubClient
-	values  valueHistory
+	store store.Store
+	log   zerolog.Logger
+	// onChange is called with every view that is published, with the lock held.
+	onChange  func(view)
+	hubClient hubClient
+	values    valueHistory
 	// following reports that this VM follows the store through a hub.
 	following atomic.Bool
 	// vmCount returns the number of VMs. maxPause is the longest pause between two watch calls.
@@ -68,7 +71,8 @@
 	// lapsed holds the keys of entries that disappeared while the store was unavailable or
 	// had just returned, with the time until which the entries are kept.
 	lapsed map[string]time.Time
-	// failedAt is when a call of the store last failed.
+	// failedAt is when a call of the store last failed, at this VM or, as far as its hubs report
+	// it, at a hub.
 	failedAt time.Time
 	// storeLost reports that the loss of the store was logged and no view was published since.
 	storeLost bool
@@ -76,12 +80,12 @@
 	completeAt time.Time
 }
 
-// newTracker returns a tracker of a store whose configurations have to be in force within the
-// time inForce.
-func newTracker(s store.Store, log zerolog.Logger, changed func(view), vms func() int, inForce time.Duration, r hubClient) *tracker {
+// newTracker returns a tracker of a store whose configurations have to be in force within
+// configurationDeadline. vmCount returns the number of VMs.
+func newTracker(s store.Store, log zerolog.Logger, onChange func(view), vmCount func() int, configurationDeadline time.Duration, hubs hubClient) *tracker {
 	return &tracker{
-		store: s, log: log, changed: changed, vmCount: vms, relay: r, values: newValueHistory(),
-		maxPause: inForce * 2 / 3, maxHubViewAge: inForce / staleDivisor, hubWatchPause: inForce / hubPauseDivisor,
+		store: s, log: log, onChange: onChange, vmCount: vmCount, hubClient: hubs, values: newValueHistory(),
+		maxPause: configurationDeadline * 2 / 3, maxHubViewAge: configurationDeadline / staleDivisor, hubWatchPause: configurationDeadline / hubPauseDivisor,
 		changes: newChangeLog(), avoided: make(map[string]hubBackoff), lapsed: make(map[string]time.Time),
 	}
 }
@@ -97,7 +101,8 @@
 			if _, ok := t.usableHub(time.Now()); !ok {
 				continue
 			}
-			// The store keeps rejecting this VM, and a hub may have a newer view by now.
+			// The store may keep rejecting this VM while a hub reads it again and has a newer
+			// view. The VM follows that hub without a read of its own.
 		}
 		read, failures = t.listAll, 0
 		if t.watchOrFollow(ctx) == nil && t.viewRevision() > 0 {
@@ -107,9 +112,10 @@
 	return nil
 }
 
-// watchOrFollow watches the store until its history is compacted, or follows a hub until the hub
-// fails. It returns store.ErrCompacted, wrapped, if the view lacks changes that a watch will no
-// longer return.
+// watchOrFollow follows a hub if one is usable, and otherwise watches the store until a hub is.
+// It returns nil once this VM has followed a hub and no hub is usable any more, or ctx has ended.
+// It returns store.ErrCompacted, wrapped, if the view lacks changes that a watch will no longer
+// return.
 func (t *tracker) watchOrFollow(ctx context.Context) error {
 	failures := 0
 	for ctx.Err() == nil {
@@ -132,26 +138,27 @@
 		}
 		failures = 0
 		t.applyEvents(events)
-		sleep(ctx, t.watchInterval())
+		sleep(ctx, t.watchPause())
 	}
 	return nil
 }
 
-// watchInterval is the pause between two watch calls. It grows with the fleet, so that the total
-// number of calls grows more slowly: VMs share what the one that watched last has seen.
-func (t *tracker) watchInterval() time.Duration {
-	if len(t.relay.hubs()) == 0 && t.vmCount() > minPauseMaxVMs {
-		// This VM is a hub: others follow it.
+// watchPause is the pause between two watch calls. It grows with the fleet, so that the total
+// number of calls grows more slowly: VMs learn of departures and of newer configurations from the
+// reports of the VM that watched last.
+func (t *tracker) watchPause() time.Duration {
+	if len(t.hubClient.hubs()) == 0 && t.vmCount() > meshMaxVMs {
+		// This VM is a hub. Its pause adds to the age of the view of each VM that follows it.
 		return t.hubWatchPause
 	}
-	scaled := minWatchPause * time.Duration(t.vmCount()) / minPauseMaxVMs
+	scaled := minWatchPause * time.Duration(t.vmCount()) / meshMaxVMs
 	return min(max(minWatchPause, scaled), max(minWatchPause, t.maxPause))
 }
 
 // retryAfter is the time until the next attempt after a number of consecutive failures. In a
 // large fleet it grows with that number: a store that rejects VMs still answers every attempt.
 func (t *tracker) retryAfter(failures int) time.Duration {
-	if t.vmCount() <= minPauseMaxVMs {
+	if t.vmCount() <= meshMaxVMs {
 		return minRetryPause
 	}
 	return min(minRetryPause<<min(failures, 4), max(minRetryPause, 2*t.hubWatchPause))
@@ -163,8 +170,8 @@
 	return t.view.revision
 }
 
-// listAll reads all keys. An entry of the view that is missing then was deleted while this VM did
-// not watch.
+// listAll reads all keys. An entry of the view that is missing from the listing was deleted while
+// this VM did not watch.
 func (t *tracker) listAll(ctx context.Context) error {
 	listing, err := t.store.Range(ctx, "")
 	if err != nil {
@@ -178,8 +185,8 @@
 
 // listLeased reads the keys that are bound to leases, after this VM has followed a hub: the hub's
 // view may have held keys that the store had already dropped. A watch from the view's revision
-// returns the changes of all other keys. All VMs behind a lost hub do this at the same time, and
-// the configuration is most of what the store holds.
+// returns the changes of all other keys. They are not read, because all VMs behind a lost hub do
+// this at the same time, and the configuration is most of what the store holds.
 func (t *tracker) listLeased(ctx context.Context) error {
 	var items []store.Item
 	for _, prefix := range leasedPrefixes {
@@ -196,9 +203,10 @@
 			items = append(items, item)
 		}
 	}
-	complete := t.completeAt
+	// replaceView sets completeAt to now, but the keys that were not read may be outdated.
+	completeAt := t.completeAt
 	t.replaceView(items, t.view.revision)
-	t.completeAt = complete
+	t.completeAt = completeAt
 	return nil
 }
 
@@ -254,7 +262,10 @@
 }
 
 // keepLapsed reports whether an entry that has disappeared is to be kept for now: if a call of
-// the store failed recently, the entry's lease may have expired although the instance lives.
+// the store failed recently, the entry's lease may have expired although the instance lives. It
+// records the key in lapsed, with the time until which the entry is kept. This project's own keys
+// are never kept: no election starts while the leader's key is in the view, and a VM without a
+// registration stays a member while its reports arrive. It must be called with the lock held.
 func (t *tracker) keepLapsed(key string, now time.Time) bool {
 	if strings.HasPrefix(key, projectPrefix) || t.failedAt.IsZero() {
 		return false
@@ -267,8 +278,8 @@
 	return now.Before(until)
 }
 
-// publish makes next the view, without the entries that were kept long enough. It must be called
-// with the lock held.
+// publish makes next the current view and calls onChange, without the entries that were kept
+// until the time recorded in lapsed. It must be called with the lock held.
 func (t *tracker) publish(next view, now time.Time) {
 	for key, until := range t.lapsed {
 		if now.After(until) {
@@ -285,7 +296,7 @@
 		t.values.record(item)
 	}
 	t.view, t.completeAt = next, now
-	t.changed(next)
+	t.onChange(next)
 }
 
 func (t *tracker) recordFailure(err error) {
@@ -315,8 +326,8 @@
 	return time.Since(t.completeAt)
 }
 
-// failedWithin reports whether a call of the store failed within some time. It is
-// called while a view is published.
+// failedWithin reports whether a call of the store failed within some time before now. It must be
+// called with the lock held, as it is in onChange.
 func (t *tracker) failedWithin(now time.Time, within time.Duration) bool {
 	return !t.failedAt.IsZero() && now.Sub(t.failedAt) < within
 }
--- a/internal/vm/value_history.go
+++ b/internal/vm/value_history.go
@@ -21,8 +21,8 @@
 // record adds an item's newest value.
 func (v valueHistory) record(i store.Item) { v.history.Record(i.Key, i.Revision, i.Value) }
 
-// itemFor returns an item for a VM that holds another revision of it, zero for none: as a
-// patch if possible, else with its whole value.
+// itemFor returns an item for a VM that holds its revision held, zero if that VM does not hold
+// the item: as a patch if possible, else with its whole value.
 func (v valueHistory) itemFor(i store.Item, held int64) *peerpb.StoreItem {
 	out := &peerpb.StoreItem{Key: i.Key, Revision: i.Revision}
 	if p, base, ok := v.history.Patch(i.Key, i.Revision, held); ok {
@@ -44,7 +44,7 @@
 		return patch.Apply(nil, i.Patch)
 	}
 	if i.BaseRevision != held.Revision {
-		return nil, errors.Wrapf(ErrPatchBase, "%s: patch of revision %d, held revision is %d", i.Key, i.BaseRevision, held.Revision)
+		return nil, errors.Wrapf(ErrPatchBase, "%s: base revision of the patch is %d, held revision is %d", i.Key, i.BaseRevision, held.Revision)
 	}
 	return patch.Apply(held.Value, i.Patch)
 }
--- a/test/soak/callers_test.go
+++ b/test/soak/callers_test.go
@@ -132,10 +132,10 @@
 	l.w.mu.Unlock()
 	id := fmt.Sprintf("id%x", l.lastID.Add(1))
 	a.Call = standin.Call{
-		ID: id, Host: host, Key: a.Key, Method: "POST", Path: "/" + string(a.kind) + "/" + id, Body: "body of " + id, Wait: 2 * time.Second,
+		ID: id, Host: host, Key: a.Key, Method: "POST", Path: "/" + string(a.kind) + "/" + id, Body: "body of " + id, Timeout: 2 * time.Second,
 	}
 	if a.kind.streams() {
-		a.Model, a.Prompt, a.Output, a.Wait = fmt.Sprintf("m%d", r.IntN(4)), 400, 40, 6*time.Second
+		a.Model, a.Prompt, a.Output, a.Timeout = fmt.Sprintf("m%d", r.IntN(4)), 400, 40, 6*time.Second
 		if r.IntN(3) == 0 {
 			a.Model += fmt.Sprintf("/a%d", 1+r.IntN(3))
 		}
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -228,7 +228,7 @@
 	defer client.CloseIdleConnections()
 	id := fmt.Sprintf("probe%x", rand.Uint64())
 	return standin.Send(w.t.Context(), client, v.Callers, standin.Call{
-		ID: id, Method: "GET", Host: host, Path: "/" + route + "/" + id, Key: key, Wait: 2 * time.Second,
+		ID: id, Method: "GET", Host: host, Path: "/" + route + "/" + id, Key: key, Timeout: 2 * time.Second,
 	}).Status
 }
 
