--- a/internal/caller/latency.go
+++ b/internal/caller/latency.go
@@ -10,7 +10,8 @@
 )
 
 // The latency objectives that a promotion of a configuration is evaluated against: the
-// time to first token, and the mean time between tokens.
+// time from the request's arrival to the first token, and the mean time between tokens.
+// Each event of a completion except the final one counts as a token.
 const (
 	firstTokenObjective = 760 * time.Millisecond
 	interTokenObjective = 52 * time.Millisecond
@@ -29,8 +30,8 @@
 	return s.Sink.Event(e)
 }
 
-// record records the time of an event. The final event is ignored, since it carries
-// no token.
+// record records the time of an event and counts it. The final event, "[DONE]", is
+// ignored, since it carries no token.
 func (s *latencySink) record(now time.Time, done bool) {
 	if done {
 		return
@@ -53,8 +54,9 @@
 	return s.last.Sub(s.first)/time.Duration(s.events-1) <= interTokenObjective
 }
 
-// reportCompletion reports an admitted completion as evidence for a promotion. It skips
-// one whose caller disconnected, since that says nothing about the system.
+// reportCompletion reports a completion that the rate limiter has admitted, as evidence
+// for a promotion: whether it met the objectives, and whether it failed. It skips one that
+// failed after its caller disconnected, since that says nothing about the system.
 func (h *Handler) reportCompletion(r *http.Request, latency *latencySink, problem *Problem) {
 	if problem != nil && r.Context().Err() == context.Canceled {
 		return
--- a/internal/caller/problem.go
+++ b/internal/caller/problem.go
@@ -39,8 +39,8 @@
 	TypeUpstreamFailed   ProblemType = "upstream_failed"
 	TypeUpstreamError    ProblemType = "upstream_error"
 	TypeDeadlineExceeded ProblemType = "deadline_exceeded"
-	// TypeDeadlineUnattainable refuses a request early that cannot be finished by its
-	// deadline.
+	// TypeDeadlineUnattainable is reported for a request that is refused early because
+	// it cannot be finished by its deadline.
 	TypeDeadlineUnattainable ProblemType = "deadline_unattainable"
 	TypeQueueFull            ProblemType = "queue_full"
 	TypeBadEventID           ProblemType = "bad_event_id"
@@ -48,10 +48,10 @@
 	TypeIdempotencyKeyReused ProblemType = "idempotency_key_reused"
 	TypeBadIdempotencyKey    ProblemType = "bad_idempotency_key"
 	TypeActionInProgress     ProblemType = "action_in_progress"
-	// TypeOutcomeUnknown answers a retry of an action that may have run.
+	// TypeOutcomeUnknown is reported for a retry of an action that may have run.
 	TypeOutcomeUnknown ProblemType = "outcome_unknown"
-	// TypeAnswerNotKept answers a retry of an action whose answer was too large
-	// to be stored.
+	// TypeAnswerNotKept is reported for a retry of an action whose answer was too
+	// large to be stored.
 	TypeAnswerNotKept    ProblemType = "answer_not_kept"
 	TypeClaimUnavailable ProblemType = "claim_unavailable"
 	TypeCallerGone       ProblemType = "caller_gone"
@@ -59,8 +59,8 @@
 
 // Problem is a refusal or failure as it is reported to the caller.
 type Problem struct {
-	// Status is the HTTP status code. With 0 no status is written: the answer has
-	// already begun.
+	// Status is the HTTP status code. 0 means that the answer has already begun, so
+	// the problem is not written as the answer.
 	Status int `json:"-"`
 	// Type is the kind of problem.
 	Type ProblemType `json:"type"`
--- a/internal/caller/reference_test.go
+++ b/internal/caller/reference_test.go
@@ -18,9 +18,10 @@
 	kind, outcome string
 }
 
-// parseProblems parses the package's source. It returns the problem types by constant
-// name, and every newProblem call with a constant type and outcome.
-func parseProblems(t *testing.T) (types map[string]string, places []problemSite) {
+// parseProblems parses the package's source without its tests. It returns the values of
+// the problem types by constant name, and every newProblem call whose type and outcome are
+// given by name.
+func parseProblems(t *testing.T) (types map[string]string, sites []problemSite) {
 	types = make(map[string]string)
 	entries, err := os.ReadDir(".")
 	require.NoError(t, err)
@@ -43,28 +44,28 @@
 					kind, _ := n.Args[1].(*ast.Ident)
 					outcome, _ := n.Args[2].(*ast.Ident)
 					if kind != nil && outcome != nil {
-						places = append(places, problemSite{kind.Name, outcome.Name})
+						sites = append(sites, problemSite{kind.Name, outcome.Name})
 					}
 				}
 			}
 			return true
 		})
 	}
-	return types, places
+	return types, sites
 }
 
 // Callers handle errors as docs/CALLERS.md specifies. If a type is missing there, or is
 // returned with an outcome that the page does not list, a caller may retry a request
 // that must not be repeated.
-func TestEveryProblemIsInTheCallersPage(t *testing.T) {
+func TestCallersDocListsEveryProblemAndOutcome(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CALLERS.md")
 	require.NoError(t, err)
-	types, places := parseProblems(t)
+	types, sites := parseProblems(t)
 	require.NotEmpty(t, types)
-	require.NotEmpty(t, places)
+	require.NotEmpty(t, sites)
 	outcomes := map[string]Outcome{"NotRun": NotRun, "Unknown": Unknown, "Answered": Answered}
 	used := make(map[string]map[Outcome]bool)
-	for _, p := range places {
+	for _, p := range sites {
 		value := types[p.kind]
 		if used[value] == nil {
 			used[value] = make(map[Outcome]bool)
--- a/internal/claims/forward.go
+++ b/internal/claims/forward.go
@@ -17,13 +17,16 @@
 // Forwarder submits operations to other VMs.
 type Forwarder interface {
 	// Submit has a VM execute an operation and returns the verdict, or an error if
-	// the VM returned none. After an error the VM may still execute the operation.
+	// the VM returned none. After an error the VM may still execute the operation. A
+	// verdict that is not Granted and has no Found means that the operation failed at
+	// the VM, which does not send the reason; the operation may still take effect.
 	Submit(ctx context.Context, vm string, op claim.Op) (claim.Verdict, error)
 }
 
 // execute executes an operation at the VM that is preferred to write the shard, or
-// locally if that VM gives no verdict. Executing an operation twice is harmless: the
-// second execution finds its own attempt.
+// locally if that VM returns an error or a verdict with neither Granted nor Found.
+// Executing an operation twice is harmless: if the first execution took effect, the second
+// finds the operation's own attempt ID in the claim and is granted too.
 func (c *Claims) execute(ctx context.Context, op claim.Op) claim.Verdict {
 	shard := op.Record.Key.Shard()
 	vm := c.options.VM
@@ -85,6 +88,7 @@
 
 func encodeKind(k claim.Kind) peerpb.ClaimKind { return kinds[k] }
 
+// decodeKind returns claim.Claim for a kind that this version does not support.
 func decodeKind(m peerpb.ClaimKind) claim.Kind {
 	for kind, message := range kinds {
 		if message == m {
--- a/internal/configsync/errors.go
+++ b/internal/configsync/errors.go
@@ -31,7 +31,8 @@
 	Version  int64
 	ChangeID string
 	Author   string
-	// Changes lead from the accepted document to the refused one.
+	// Changes lead from the accepted document to the refused one. It is empty if the
+	// accepted document cannot be parsed.
 	Changes []document.Change
 }
 
--- a/internal/ctl/keys.go
+++ b/internal/ctl/keys.go
@@ -55,6 +55,8 @@
 			}
 			text, err := document.WithKey([]byte(accepted.Document), args[0], document.Key{ID: args[1], SHA256: digest})
 			if err != nil {
+				// An error here, such as a team that the document does not list, is
+				// reported like a refusal by a server.
 				return &operator.APIError{Type: operator.TypeRefused, Message: err.Error()}
 			}
 			if _, err := document.Parse(text, "document"); err != nil {
@@ -82,18 +84,18 @@
 			}
 			ctx, cancel := context.WithTimeout(c.Context(), o.timeout)
 			defer cancel()
-			digest, err := findKey(ctx, clients, args, digest)
+			withdrawn, err := findDigest(ctx, clients, args, digest)
 			if err != nil {
 				return err
 			}
-			return o.withdraw(ctx, clients, digest)
+			return o.withdraw(ctx, clients, withdrawn)
 		},
 	}
 	c.Flags().StringVar(&digest, "digest", "", "the key's `digest`, in place of team and key ID")
 	return c
 }
 
-func findKey(ctx context.Context, clients []*operator.Client, args []string, digest string) (string, error) {
+func findDigest(ctx context.Context, clients []*operator.Client, args []string, digest string) (string, error) {
 	if digest != "" {
 		if len(args) > 0 || !document.IsDigest(digest) {
 			return "", errors.Wrap(ErrUsage, "--digest must be a SHA-256 digest in hexadecimal, without TEAM and KEY_ID")
@@ -124,9 +126,9 @@
 // vmWithdrawal is the result of a withdrawal at one VM.
 type vmWithdrawal struct {
 	Server string `json:"server" yaml:"server"`
-	// Holds means that the VM now refuses the key.
-	Holds bool   `json:"holds" yaml:"holds"`
-	Error string `json:"error,omitempty" yaml:"error,omitempty"`
+	// Refuses means that the VM now refuses the key.
+	Refuses bool   `json:"holds" yaml:"holds"`
+	Error   string `json:"error,omitempty" yaml:"error,omitempty"`
 }
 
 // withdrawalReport is the JSON and YAML output of a withdrawal.
@@ -151,7 +153,7 @@
 			callCtx, cancel := callContext(ctx)
 			defer cancel()
 			_, err := c.Withdraw(callCtx, &operator.WithdrawRequest{ChangeID: id, Digests: []string{digest}, HoldOnly: true})
-			w.VMs[i] = vmWithdrawal{Server: c.Server, Holds: err == nil, Error: errorText(err)}
+			w.VMs[i] = vmWithdrawal{Server: c.Server, Refuses: err == nil, Error: errorText(err)}
 		})
 	})
 	group.Go(func() { w.makeDurable(ctx, clients, id) })
@@ -187,34 +189,34 @@
 }
 
 func (o *options) reportWithdrawal(ctx context.Context, clients []*operator.Client, w *withdrawalReport) error {
-	missing := 0
+	unconfirmed := 0
 	t := &table{header: []string{"SERVER", "REFUSES THE KEY", "ERROR"}}
 	for i := range w.VMs {
 		vm := &w.VMs[i]
 		// A VM that the direct call did not reach may have received the
 		// withdrawal from the key-value service.
-		if !vm.Holds && w.Durable {
+		if !vm.Refuses && w.Durable {
 			s := waitInForce(ctx, clients[i:i+1], w.Version, defaultWait)[0]
-			vm.Holds, vm.Error = s.InForce, s.Error
+			vm.Refuses, vm.Error = s.InForce, s.Error
 		}
-		if !vm.Holds {
-			missing++
+		if !vm.Refuses {
+			unconfirmed++
 		}
-		t.addRow(vm.Server, vm.Holds, vm.Error)
+		t.addRow(vm.Server, vm.Refuses, vm.Error)
 	}
 	if err := o.print(w, t); err != nil {
 		return err
 	}
 	switch {
-	case missing == len(clients) && !w.Durable:
+	case unconfirmed == len(clients) && !w.Durable:
 		return errors.Wrap(operator.ErrUnreachable, "no VM accepted the withdrawal")
 	case !w.Durable:
 		fmt.Fprintf(o.errOut, "NOT DURABLE YET: %d of %d VMs refuse the key, but the key-value service does not hold the withdrawal (%s).\n"+
 			"It becomes durable by itself when the service is back, as long as one of these VMs runs until then.\n",
-			len(clients)-missing, len(clients), w.Reason)
+			len(clients)-unconfirmed, len(clients), w.Reason)
 		return errors.Wrap(ErrPartial, "the withdrawal is not durable yet")
-	case missing > 0:
-		return errors.Wrapf(ErrPartial, "accepted as version %d, but %d of %d VMs have not confirmed it", w.Version, missing, len(clients))
+	case unconfirmed > 0:
+		return errors.Wrapf(ErrPartial, "accepted as version %d, but %d of %d VMs have not confirmed it", w.Version, unconfirmed, len(clients))
 	}
 	fmt.Fprintf(o.errOut, "withdrawn permanently: version %d, refused at all %d VMs\n", w.Version, len(clients))
 	return nil
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -17,8 +17,8 @@
 	// replicaTimeout is how long a request stays queued while no upstream serves its
 	// item.
 	replicaTimeout = 2 * time.Second
-	// eventBuffer is the capacity of the channel into the owning goroutine.
-	eventBuffer = 256
+	// messageBuffer is the capacity of the channel into the owning goroutine.
+	messageBuffer = 256
 )
 
 // Options configures a Dispatcher.
@@ -44,15 +44,18 @@
 // Dispatcher assigns requests from its queue to upstreams. It processes requests
 // only while Run executes.
 type Dispatcher struct {
-	options         Options
-	queue           *admit.Queue
-	router          *route.Router
-	rng             *rand.Rand
-	fleet           *route.Fleet
-	waiting         map[uint64]*waiter
+	options Options
+	queue   *admit.Queue
+	router  *route.Router
+	rng     *rand.Rand
+	fleet   *route.Fleet
+	waiting map[uint64]*waiter
+	// classes holds one request of each class that has queued requests. canRun uses it
+	// to find out whether an upstream is available for the class. A class without queued
+	// requests is removed at a later refresh.
 	classes         map[string]*Request
 	averageRunTimes map[route.Item]time.Duration
-	parts           *route.LimitShares
+	limitShares     *route.LimitShares
 	// exhaustedLimits holds the limit of each item whose local share was found used
 	// up since the last refresh.
 	exhaustedLimits map[route.Item]int
@@ -61,7 +64,7 @@
 	nextID     uint64
 	peers      Peers
 	stats      Stats
-	events     chan any
+	messages   chan any
 	done       chan struct{}
 	published  atomic.Pointer[Stats]
 }
@@ -82,16 +85,16 @@
 
 // The messages to the owning goroutine.
 type (
-	acquire struct {
+	acquireMessage struct {
 		request *Request
 		reply   chan result
 		id      chan uint64
 	}
-	withdraw struct {
+	cancelMessage struct {
 		id      uint64
 		removed chan bool
 	}
-	finish struct {
+	finishMessage struct {
 		grant   *Grant
 		healthy bool
 		tokens  int64
@@ -111,10 +114,10 @@
 		waiting:         make(map[uint64]*waiter),
 		classes:         make(map[string]*Request),
 		averageRunTimes: make(map[route.Item]time.Duration),
-		parts:           route.NewLimitShares(),
+		limitShares:     route.NewLimitShares(),
 		exhaustedLimits: make(map[route.Item]int),
 		lastBorrow:      make(map[route.Item]time.Time),
-		events:          make(chan any, eventBuffer),
+		messages:        make(chan any, messageBuffer),
 		done:            make(chan struct{}),
 		stats:           Stats{Served: make(map[string]int64), Refused: make(map[string]int64)},
 	}
@@ -131,7 +134,7 @@
 func (d *Dispatcher) Acquire(ctx context.Context, r Request) (*Grant, error) {
 	reply := make(chan result, 1)
 	id := make(chan uint64, 1)
-	if !d.send(acquire{request: &r, reply: reply, id: id}) {
+	if !d.send(acquireMessage{request: &r, reply: reply, id: id}) {
 		return nil, ErrStopped
 	}
 	select {
@@ -155,7 +158,7 @@
 		return
 	}
 	removed := make(chan bool, 1)
-	if !d.send(withdraw{id: requestID, removed: removed}) {
+	if !d.send(cancelMessage{id: requestID, removed: removed}) {
 		return
 	}
 	select {
@@ -180,7 +183,7 @@
 	default:
 	}
 	select {
-	case d.events <- message:
+	case d.messages <- message:
 		return true
 	case <-d.done:
 		return false
@@ -200,7 +203,7 @@
 			return ctx.Err()
 		case <-ticker.C:
 			d.refresh(ctx)
-		case message := <-d.events:
+		case message := <-d.messages:
 			d.handle(message, time.Now())
 		}
 		d.dispatchQueued(time.Now())
--- a/internal/dispatch/owner.go
+++ b/internal/dispatch/owner.go
@@ -14,20 +14,20 @@
 // handle processes one message in the owning goroutine.
 func (d *Dispatcher) handle(message any, now time.Time) {
 	switch m := message.(type) {
-	case acquire:
+	case acquireMessage:
 		d.enqueue(m, now)
-	case withdraw:
+	case cancelMessage:
 		m.removed <- d.remove(m.id)
-	case finish:
+	case finishMessage:
 		d.finish(m, now)
-	case lend:
+	case lendMessage:
 		d.lend(m, now)
-	case borrowed:
-		d.parts.RecordLoan(m.item, m.n, m.requestedAt)
+	case borrowedMessage:
+		d.limitShares.RecordLoan(m.item, m.slots, m.requestedAt)
 	}
 }
 
-func (d *Dispatcher) enqueue(m acquire, now time.Time) {
+func (d *Dispatcher) enqueue(m acquireMessage, now time.Time) {
 	d.nextID++
 	id := d.nextID
 	m.id <- id
@@ -94,7 +94,7 @@
 	return d.queue.Remove(w.request.Team, id)
 }
 
-func (d *Dispatcher) finish(m finish, now time.Time) {
+func (d *Dispatcher) finish(m finishMessage, now time.Time) {
 	r := m.grant.request
 	d.router.Finished(m.grant.Upstream.Name, r.Item, m.healthy, now)
 	d.queue.CorrectCost(r.Team, m.tokens-r.Tokens)
@@ -169,7 +169,7 @@
 	if r.MaxInFlight <= 0 {
 		return 0
 	}
-	return d.parts.Share(r.Item, r.MaxInFlight, now)
+	return d.limitShares.Share(r.Item, r.MaxInFlight, now)
 }
 
 // dispatch assigns a request to an upstream. The request's key is checked at this
@@ -228,7 +228,7 @@
 		d.queue.ServedElsewhere(served)
 	}
 	d.peers = peers
-	d.parts.SetFleet(peers.VMs, peers.Rank)
+	d.limitShares.SetFleet(peers.VMs, peers.Rank)
 	own := max(1, d.stats.InFlight)
 	d.router.SetFleetMultiplier(min(float64(peers.VMs), float64(own+peers.InFlight)/float64(own)))
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -75,7 +75,7 @@
 		return
 	}
 	g.finished = true
-	g.dispatcher.send(finish{grant: g, healthy: healthy, tokens: tokens})
+	g.dispatcher.send(finishMessage{grant: g, healthy: healthy, tokens: tokens})
 }
 
 // Peers is the state of the VMs as reported by heartbeats.
--- a/internal/dispatch/shares.go
+++ b/internal/dispatch/shares.go
@@ -22,16 +22,16 @@
 	Borrow(ctx context.Context, rank int, i route.Item, limit, want int) int
 }
 
-// The messages about loans between VMs.
+// The messages to the owning goroutine about loans between VMs.
 type (
-	lend struct {
+	lendMessage struct {
 		item        route.Item
 		limit, want int
 		lent        chan int
 	}
-	borrowed struct {
+	borrowedMessage struct {
 		item        route.Item
-		n           int
+		slots       int
 		requestedAt time.Time
 	}
 )
@@ -47,8 +47,10 @@
 	return n
 }
 
-// borrow sends one borrow request to a random other VM for each item whose local
-// share is exhausted. The response arrives as a borrowed message.
+// borrow sends a borrow request to one other VM for each item whose local share is
+// exhausted. An item is skipped if its last request was sent less than borrowInterval ago,
+// if there is no Borrower, or if no VM has a share of the limit. The response arrives as a
+// borrowedMessage.
 func (d *Dispatcher) borrow(ctx context.Context, now time.Time) {
 	for i, limit := range d.exhaustedLimits {
 		delete(d.exhaustedLimits, i)
@@ -56,10 +58,13 @@
 		if d.options.Borrower == nil || now.Before(d.lastBorrow[i].Add(borrowInterval)) || lenders < 1 {
 			continue
 		}
+		// A random lender is asked. If that is this VM, the VM with the next rank is
+		// asked instead, even if its own share of the limit is 0.
 		rank := d.rng.IntN(lenders)
 		if rank == d.peers.Rank {
 			rank = (rank + 1) % d.peers.VMs
 		}
+		// The ranks are still equal if there is no other VM.
 		if rank == d.peers.Rank {
 			continue
 		}
@@ -67,16 +72,17 @@
 		want := d.queuedFor(i)
 		go func() {
 			n := d.options.Borrower.Borrow(ctx, rank, i, limit, want)
-			d.send(borrowed{item: i, n: n, requestedAt: now})
+			d.send(borrowedMessage{item: i, slots: n, requestedAt: now})
 		}()
 	}
 }
 
 // Lend lends up to want slots of this VM's share of an item's limit to another VM and
 // returns how many it has lent. It returns 0 if ctx ends or the dispatcher has stopped.
+// After ctx ends the slots may still be lent; they are free again when the loan expires.
 func (d *Dispatcher) Lend(ctx context.Context, i route.Item, limit, want int) int {
 	lent := make(chan int, 1)
-	if !d.send(lend{item: i, limit: limit, want: want, lent: lent}) {
+	if !d.send(lendMessage{item: i, limit: limit, want: want, lent: lent}) {
 		return 0
 	}
 	select {
@@ -89,9 +95,9 @@
 }
 
 // lend lends slots that no running or queued request of this VM needs.
-func (d *Dispatcher) lend(m lend, now time.Time) {
+func (d *Dispatcher) lend(m lendMessage, now time.Time) {
 	inUse := d.router.AdapterInFlight(m.item) + d.queuedFor(m.item)
-	m.lent <- d.parts.Lend(m.item, m.limit, inUse, m.want, now)
+	m.lent <- d.limitShares.Lend(m.item, m.limit, inUse, m.want, now)
 }
 
 // PeerBorrower is a Borrower that calls other VMs over gRPC.
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -20,10 +20,11 @@
 	// ErrIncarnationMismatch means that the engine is not in the incarnation that the
 	// order was created for. The order was not sent.
 	ErrIncarnationMismatch = errors.New("engine: incarnation mismatch")
-	// ErrNoAnswer means that it is unknown whether the engine has received the order.
+	// ErrNoAnswer means that the engine could not be reached or gave no valid answer.
+	// After Send it is unknown whether the engine has received the order.
 	ErrNoAnswer = errors.New("engine: no valid answer")
-	// ErrUnknownOrder means that the engine has not received the order yet. The order
-	// may still arrive.
+	// ErrUnknownOrder means that the engine has no record of the order: it has not
+	// received it, or has restarted since. The order may still arrive.
 	ErrUnknownOrder = errors.New("engine: unknown order")
 )
 
@@ -45,13 +46,14 @@
 
 // Send sends an order to the engine at base if it is in the given incarnation.
 //
-// An engine loses its record of received orders when it restarts. An order that a
-// paused planner sends after the restart would be executed a second time and occupy
-// memory that is accounted as free. The order is therefore sent on a connection on
-// which the engine has just reported its incarnation: the connection ends with the
-// engine's process, so the order reaches this incarnation or none.
+// An engine loses its record of received orders when it restarts. If a paused planner
+// sent an order again after the restart, the engine would execute it a second time, and
+// the item would occupy memory that is accounted as free. The order is therefore sent on a
+// connection on which the engine has just reported its incarnation: the connection ends
+// with the engine's process, so the order reaches this incarnation or none.
 //
-// Errors wrap ErrIncarnationMismatch, if the order was not sent, or ErrNoAnswer.
+// Errors wrap ErrIncarnationMismatch if the engine reports another incarnation, in which
+// case the order was not sent, and ErrNoAnswer otherwise, in which case it may have been.
 func (c *OrderClient) Send(ctx context.Context, base, incarnation string, order Order) (OrderStatus, error) {
 	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
@@ -123,7 +125,8 @@
 	conn      net.Conn
 }
 
-// errDialedTwice prevents the transport from opening a second connection.
+// errDialedTwice is the error of every dial of the transport after the first, so that it
+// uses only the connection that dialOnce has opened.
 var errDialedTwice = errors.New("engine: the only connection for this exchange was already used")
 
 func (c *OrderClient) dialOnce(ctx context.Context, base string) (*connection, error) {
@@ -169,6 +172,8 @@
 	if err != nil {
 		return OrderStatus{}, errors.Wrap(ErrNoAnswer, err.Error())
 	}
+	// Without GetBody, net/http cannot send the body a second time, neither to retry the
+	// request nor to follow a redirect.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
 	var status OrderStatus
@@ -176,6 +181,8 @@
 	if err != nil && code != http.StatusConflict {
 		return OrderStatus{}, err
 	}
+	// Status 409 is a refusal of the order. If its body states no state of the order, the
+	// refusal counts as one for an old fencing number.
 	if code == http.StatusConflict && status.State == "" {
 		status = OrderStatus{OrderID: orderID, State: OrderRefused, Reason: "old fencing number"}
 	}
--- a/internal/engine/poller/poller.go
+++ b/internal/engine/poller/poller.go
@@ -45,8 +45,8 @@
 	MaxAge time.Duration
 }
 
-// Poller owns the state of the engines in the goroutine of Run. Its snapshots may be
-// read from any goroutine.
+// Poller polls the load reports of the engines and publishes snapshots of the fleet. The
+// goroutine of Run owns the engines' states; Fleet may be called from any goroutine.
 type Poller struct {
 	options Options
 	fleet   atomic.Pointer[route.Fleet]
@@ -54,7 +54,8 @@
 	reports chan report
 }
 
-// engineState is the last accepted report of one engine.
+// engineState is the state of polling one engine: the last accepted report, if received is
+// true, and whether a request for a report is pending.
 type engineState struct {
 	url        string
 	pending    bool
@@ -187,7 +188,7 @@
 	for _, e := range engines {
 		s := p.state(e)
 		kept[e.Name] = s
-		out := snapshot(e, s, now, p.options.MaxAge)
+		out := routeEngine(e, s, now, p.options.MaxAge)
 		out.Leaving = out.Leaving || p.options.Leaving(document.Address(e.URL))
 		fleet.Engines = append(fleet.Engines, out)
 	}
@@ -195,7 +196,9 @@
 	p.fleet.Store(fleet)
 }
 
-func snapshot(e document.Engine, s *engineState, now time.Time, maxAge time.Duration) route.Engine {
+// routeEngine converts an engine's state for the router. Without a report, only the
+// fields from the configuration are set, so the engine counts as unreachable.
+func routeEngine(e document.Engine, s *engineState, now time.Time, maxAge time.Duration) route.Engine {
 	out := route.Engine{Name: e.Name, URL: e.URL, FailureDomain: e.FailureDomain}
 	if !s.received {
 		return out
--- a/internal/membership/counters.go
+++ b/internal/membership/counters.go
@@ -12,7 +12,7 @@
 type counterSelector struct {
 	rounds uint64
 	// reported holds all counters at the start of the current round.
-	reported map[string]int64
+	atRoundStart map[string]int64
 	// changed and changedBefore hold the teams whose counters changed in the last
 	// round and in the one before it. Both are needed because a partner receives one
 	// heartbeat of this VM per round, at any time within the round.
@@ -25,11 +25,11 @@
 	c.changedBefore = c.changed
 	c.changed = make(map[string]struct{})
 	for team, tokens := range served {
-		if last, known := c.reported[team]; !known || last != tokens {
+		if last, known := c.atRoundStart[team]; !known || last != tokens {
 			c.changed[team] = struct{}{}
 		}
 	}
-	c.reported = served
+	c.atRoundStart = served
 }
 
 // forReport returns the counters to include in a report now, or nil if there are none.
@@ -39,9 +39,9 @@
 	}
 	var selected map[string]int64
 	for team, tokens := range served {
-		_, now := c.changed[team]
-		_, before := c.changedBefore[team]
-		if !now && !before && c.reported[team] == tokens {
+		_, changed := c.changed[team]
+		_, changedBefore := c.changedBefore[team]
+		if !changed && !changedBefore && c.atRoundStart[team] == tokens {
 			continue
 		}
 		if selected == nil {
--- a/internal/membership/counters_test.go
+++ b/internal/membership/counters_test.go
@@ -19,7 +19,7 @@
 		m, _ := partner.View(now).Lookup("a")
 		return m.ServedTokens[team]
 	}
-	smallest := len(served)
+	fewestCounters := len(served)
 	for round := range 2 * fullReportInterval {
 		now = now.Add(time.Second)
 		next := map[string]int64{"still": 5, "busy": int64(round)}
@@ -29,7 +29,7 @@
 		sender.UpdateSelf(func(n *Node) { n.ServedTokens = next })
 		sender.Tick(now)
 		report := sender.Report()
-		smallest = min(smallest, len(report.ServedTokens))
+		fewestCounters = min(fewestCounters, len(report.ServedTokens))
 		if round == 3 || round == 4 {
 			continue // both heartbeats that carry the change are lost
 		}
@@ -37,7 +37,7 @@
 		require.Equal(t, int64(5), counterAtPartner("still"))
 		require.Equal(t, int64(round), counterAtPartner("busy"))
 	}
-	require.Equal(t, 1, smallest, "unchanged counters must be omitted from heartbeats")
+	require.Equal(t, 1, fewestCounters, "unchanged counters must be omitted from heartbeats")
 	require.Equal(t, int64(7), counterAtPartner("missed"), "a full report since the change must have carried the counter")
 }
 
--- a/internal/membership/ring.go
+++ b/internal/membership/ring.go
@@ -21,8 +21,10 @@
 }
 
 // ringOrder returns the VMs, including the local one, in the order of the ring.
-// Neighbours are in different failure domains wherever the domains' sizes allow it. VMs
-// with the same view of the fleet compute the same ring.
+// Neighbours are in different failure domains if there are several domains of equal size.
+// With other sizes they may share one even where another order would separate them: with
+// domains of 2, 1 and 1 VMs the two VMs of the first are the ends of the order, and so
+// neighbours. VMs with the same view of the fleet compute the same ring.
 func ringOrder(domains map[string]string) []string {
 	byDomain := make(map[string][]ringSlot)
 	for vm, domain := range domains {
@@ -61,10 +63,11 @@
 	return s.ring
 }
 
-// neighbours returns up to count VMs at growing distances along the ring, or against it
-// if direction is -1. The first is next to the local VM, the distances of the others
-// are fractional powers of the ring's size, so that gossip crosses the ring in a few
-// hops. A VM for which skip returns true is replaced by the next one.
+// neighbours returns up to count VMs at growing distances on the ring, in its order if
+// direction is 1 and in reverse order if it is -1. The first is next to the local VM. The
+// distances of the others are fractional powers of the ring's size, so that gossip crosses
+// the ring in a few hops. A VM that was already selected, or for which skip returns true,
+// is replaced by the next one in the same direction.
 func (s *State) neighbours(direction, count int, skip func(vm string) bool) []string {
 	ring := s.currentRing()
 	at := slices.Index(ring, s.self.VM)
@@ -83,8 +86,9 @@
 }
 
 // partnerSet returns the VMs that the local one sends heartbeats to and those that send
-// heartbeats to it. It includes silent VMs, because the fraction of partners that are
-// alive must count those that are not.
+// heartbeats to it. It includes silent VMs, because View.PartnersTotal must count the
+// partners that are not alive: otherwise a VM that has lost most of its partners would
+// still count a majority of them as alive.
 func (s *State) partnerSet() map[string]struct{} {
 	skipNone := func(string) bool { return false }
 	set := make(map[string]struct{}, 2*s.cfg.Partners)
@@ -96,9 +100,9 @@
 	return set
 }
 
-// Targets returns the peer addresses for the next round of heartbeats: the next VMs on
-// the ring that are not gone, and in turn a bounded number of seeds and gone VMs, so
-// that a partitioned fleet merges again.
+// Targets returns the peer addresses for the next round of heartbeats: the neighbours on
+// the ring, with gone VMs replaced, and up to extraTargets seeds and gone VMs in rotation,
+// so that a partitioned fleet merges again.
 func (s *State) Targets(now time.Time) []string {
 	gone := func(vm string) bool {
 		m := s.members[vm]
@@ -117,20 +121,20 @@
 	return slices.Compact(targets)
 }
 
-// extraAddresses returns the addresses of gone VMs and those seeds that do not belong to
-// a VM that is alive.
+// extraAddresses returns the addresses of gone VMs, and those seeds that belong neither to
+// the local VM nor to a VM that is not gone.
 func (s *State) extraAddresses(now time.Time) []string {
-	alive := map[string]struct{}{s.self.PeerAddress: {}}
+	notGone := map[string]struct{}{s.self.PeerAddress: {}}
 	var addresses []string
 	for _, m := range s.members {
 		if !m.silent && now.Sub(m.lastReportAt) <= s.cfg.IndirectAfter {
-			alive[m.node.PeerAddress] = struct{}{}
+			notGone[m.node.PeerAddress] = struct{}{}
 			continue
 		}
 		addresses = append(addresses, m.node.PeerAddress)
 	}
 	for _, seed := range s.seeds {
-		if _, ok := alive[seed]; !ok {
+		if _, ok := notGone[seed]; !ok {
 			addresses = append(addresses, seed)
 		}
 	}
--- a/internal/membership/state_test.go
+++ b/internal/membership/state_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// A VM dies without announcing that it leaves. Callers that are given its address run
-// into a timeout, so the other VMs must stop listing it as healthy within seconds.
+// A VM dies without announcing that it leaves. Requests to it time out at callers that
+// receive its address, so the other VMs must stop listing it as healthy within seconds.
 func TestDeadVMIsNotListedAsHealthy(t *testing.T) {
 	c := newCluster(7, 4)
 	for range 20 {
@@ -86,11 +86,12 @@
 			require.Len(t, s.View(c.now).Healthy(), 6)
 		}
 	}
-	require.False(t, c.states["10.0.0.3:1"].View(c.now).HasPartnerMajority(), "the partitioned VM must detect that it has lost its partners")
+	require.False(t, c.states["10.0.0.3:1"].View(c.now).HasPartnerMajority(), "a VM that has received no report for 5 rounds must not count a majority of its partners as alive")
 }
 
 // The number of heartbeats per VM must not grow with the fleet, or a large fleet would
-// spend its time on heartbeats.
+// spend its time on heartbeats. When a VM dies, only its partners miss its reports, and
+// gossip must make all other VMs list it as unhealthy too.
 func TestHeartbeatsDoNotGrowWithFleet(t *testing.T) {
 	c := newCluster(120, 6)
 	for range 150 {
@@ -131,9 +132,9 @@
 	}
 }
 
-// A withdrawal that is pushed to VMs without the key-value service does not reach one of
-// them. That VM's configuration version is no lower than the others', so only the counts
-// and sums of withdrawn keys show the difference.
+// A withdrawal is sent to the VMs directly, without the key-value service, and one of them
+// does not receive it. That VM's configuration version is no lower than the others', so
+// only the counts and sums of withdrawn keys show the difference.
 func TestMissedWithdrawalsAreDetected(t *testing.T) {
 	view := &View{Self: Node{VM: "self", ConfigVersion: 5, Withdrawn: 2, WithdrawnSum: 7}}
 	for _, c := range []struct {
@@ -145,8 +146,8 @@
 		{"one more", Node{ConfigVersion: 5, Withdrawn: 3, WithdrawnSum: 8}, "other"},
 		{"as many, but others", Node{ConfigVersion: 5, Withdrawn: 2, WithdrawnSum: 8}, "other"},
 		{"fewer", Node{ConfigVersion: 5, Withdrawn: 1, WithdrawnSum: 8}, ""},
-		{"one more, and behind", Node{ConfigVersion: 4, Withdrawn: 3, WithdrawnSum: 8}, "other"},
-		{"ahead, which brings them anyway", Node{ConfigVersion: 6, Withdrawn: 3, WithdrawnSum: 8}, ""},
+		{"one more, at an older configuration version", Node{ConfigVersion: 4, Withdrawn: 3, WithdrawnSum: 8}, "other"},
+		{"one more, at a newer configuration version, which delivers it", Node{ConfigVersion: 6, Withdrawn: 3, WithdrawnSum: 8}, ""},
 	} {
 		c.other.VM = "other"
 		view.Members = []Member{{Node: c.other}}
--- a/internal/order/account.go
+++ b/internal/order/account.go
@@ -12,9 +12,10 @@
 var (
 	// ErrNoRoom means that an item does not fit into the engine's memory together
 	// with everything that the engine could hold.
-	ErrNoRoom = errors.New("order: item does not fit into the engine's memory beside the allowed set")
-	// ErrBusy means that an order for the item has no definite answer yet, or that
-	// the item's entry is not in the state that the new order needs.
+	ErrNoRoom = errors.New("order: item does not fit into the engine's memory beside everything that the engine could hold")
+	// ErrBusy means that an order for the item has no definite answer yet, that the
+	// item of a load order already has an entry, or that the item of an unload order
+	// has none.
 	ErrBusy = errors.New("order: an order for the item is unsettled")
 	// ErrCorrupt means that a stored record cannot be decoded.
 	ErrCorrupt = errors.New("order: corrupt record")
@@ -32,7 +33,7 @@
 	// Nonce is unique to each write, so that a writer that did not receive the
 	// outcome can recognise its own write.
 	Nonce string `json:"nonce"`
-	// Entries is the allowed set: every item that the engine could hold.
+	// Entries lists every item that the engine could hold.
 	Entries []Entry `json:"entries"`
 }
 
@@ -106,18 +107,21 @@
 )
 
 // Settle applies a definite answer from the account's incarnation. A failed load
-// occupies no memory; after a failed unload the item is still held.
+// occupies no memory; after a failed unload the item is still held. Refused counts as
+// Failed. Running, or an order that no entry has, changes nothing.
 func (a Account) Settle(orderID string, answer Answer) Account {
 	at := slices.IndexFunc(a.Entries, func(e Entry) bool { return e.Load == orderID || e.Unload == orderID })
 	if at < 0 || answer == Running {
 		return a
 	}
 	a.Entries = slices.Clone(a.Entries)
-	load := a.Entries[at].Load == orderID
+	isLoad := a.Entries[at].Load == orderID
 	switch {
-	case load && answer == Done:
+	case isLoad && answer == Done:
 		a.Entries[at].Load = ""
-	case load != (answer == Done):
+	case isLoad != (answer == Done):
+		// A load that failed or an unload that is done: the engine does not hold the
+		// item.
 		a.Entries = slices.Delete(a.Entries, at, at+1)
 	default:
 		a.Entries[at].Unload = ""
--- a/internal/planner/leadership.go
+++ b/internal/planner/leadership.go
@@ -28,9 +28,9 @@
 	// minStepIntervalPerEngine for each engine.
 	minStepInterval          = 10 * time.Millisecond
 	minStepIntervalPerEngine = 250 * time.Microsecond
-	// planPauseFactor bounds the share of time spent on planning: the next plan
-	// starts no sooner than this many times the duration of the last plan after
-	// its start.
+	// planPauseFactor limits the part of the time that is spent on planning. While
+	// the configuration does not change, the time from the start of a plan to the
+	// start of the next is at least planPauseFactor times the duration of the first.
 	planPauseFactor = 100
 	// storeFailureDelay delays the result of a failed call to the key-value
 	// service, which bounds how often the service is called during an outage.
@@ -167,8 +167,10 @@
 	}
 }
 
-// replanIfDue makes a new plan if the plan interval has elapsed or the document
-// has changed.
+// replanIfDue updates the demand rates and, once the reconciler has surveyed the engines,
+// makes a new plan. It does so at once if the configuration snapshot has changed, else
+// after PlanInterval, or after planPauseFactor times the duration of the last plan if that
+// is longer.
 func (l *leadership) replanIfDue(now clock.Reading) {
 	snapshot := l.planner.options.Config()
 	changed := snapshot != l.snapshot
@@ -185,7 +187,9 @@
 	if changed {
 		store := snapshot.Document.WeightStore
 		l.reconciler.SetLoadLimits(store.LoadsPerSecond, store.ConcurrentLoads)
-		// The reconciler must know the engines before it can poll them.
+		// The reconciler polls the engines of its goal, and no plan is made before it
+		// has surveyed them. Until then the goal has the new document's engines and the
+		// last plan's assignments.
 		goal.Assignments = l.plan.Assignments
 		l.reconciler.SetGoal(goal)
 	}
--- a/internal/quota/records.go
+++ b/internal/quota/records.go
@@ -10,8 +10,8 @@
 
 const (
 	// Slots is the number of equal shares into which every team's rate and burst are
-	// divided. It is divisible by 6 and 7, so that fleets of these sizes get equal
-	// shares.
+	// divided. It is divisible by 2, 3, 4, 6, 7 and 12, so that fleets of these sizes
+	// get equal shares.
 	Slots = 84
 	// UnitsPerSlot is the number of units in a slot. Loans are measured in units.
 	UnitsPerSlot = 1000
@@ -44,7 +44,8 @@
 	// Renewals counts the renewals of this incarnation, so that no two writes of the
 	// record are identical.
 	Renewals uint64 `json:"renewals"`
-	// Witnesses lists the processes that may close the record if all of them consent.
+	// Witnesses lists the processes that must all consent before any process other than
+	// the holder may close the record.
 	Witnesses []Witness `json:"witnesses"`
 	// Superseded means that a later process has started on the VM and needs the record
 	// to be closed. The holder can no longer renew it.
@@ -72,9 +73,9 @@
 }
 
 // Assignment maps processes to the number of slots that they hold, which applies to all
-// teams. Only the holder itself removes slots from its share, after it has stopped using
-// them; any process may move the slots of a holder whose record is closed. Every change
-// is one compare-and-swap, so the sum never exceeds Slots.
+// teams. Until a holder's record is closed, only the holder itself removes slots from its
+// share, after it has stopped using them; once it is closed, any process may move them.
+// Every change is one compare-and-swap, so the sum never exceeds Slots.
 type Assignment struct {
 	// Shares is sorted by VM and incarnation.
 	Shares []Share `json:"shares"`
--- a/internal/ratelimit/convert.go
+++ b/internal/ratelimit/convert.go
@@ -25,7 +25,8 @@
 	return quota.LoanID{Borrower: decodeHolder(id.GetBorrower()), Number: id.GetNumber()}
 }
 
-// Encode converts a message to its wire form.
+// Encode converts a message to its wire form. It returns an empty message for a type
+// that it does not support.
 func Encode(message quota.Message) *peerpb.QuotaMessage {
 	switch m := message.(type) {
 	case quota.Ask:
@@ -62,8 +63,8 @@
 	}
 }
 
-// decodeMessage converts a message from its wire form. It returns nil for a
-// message kind that this version does not support.
+// decodeMessage converts a message from its wire form. Negative units and balances
+// become 0. It returns nil for a message kind that this version does not support.
 func decodeMessage(message *peerpb.QuotaMessage) quota.Message {
 	switch b := message.GetBody().(type) {
 	case *peerpb.QuotaMessage_Ask:
--- a/internal/ratelimit/leases.go
+++ b/internal/ratelimit/leases.go
@@ -77,7 +77,9 @@
 	teamStates  atomic.Pointer[[]quota.TeamState]
 	gauges      statsGauges
 
-	// The fields below are owned by the control goroutine.
+	// The fields below, and the calls to machine except AssignmentKey, belong to the
+	// control goroutine. The exception is ctx: Run sets it before it starts that
+	// goroutine, and the goroutines of calls read it too.
 	publishedAt time.Duration
 	ctx         context.Context
 	pending     map[uint64]chan quota.Verdict
@@ -93,7 +95,8 @@
 	batch *peerpb.QuotaBatch
 }
 
-// NewLeases returns a limiter that admits nothing until Run has acquired authority.
+// NewLeases returns a limiter that admits nothing until Run has obtained a share of the
+// limits for this VM: slots of its own, with the authority to use them, or a loan.
 func NewLeases(options Options) *Leases {
 	if options.Clock == nil {
 		options.Clock = clock.System()
@@ -121,7 +124,8 @@
 	return l.incarnation.Load()
 }
 
-// Left reports whether this VM has handed over all that it held, after Leave.
+// Left reports whether, after Leave, this VM has handed over all its slots or its quota
+// record is closed, as of the last tick.
 func (l *Leases) Left() bool {
 	return l.left.Load()
 }
@@ -188,8 +192,9 @@
 	}
 }
 
-// abandon drops a request whose caller has gone, and refunds its tokens if they
-// have been charged meanwhile.
+// abandon drops a request whose context has ended, by cancellation or at its deadline,
+// and refunds its tokens if they have been charged meanwhile. number is a pointer because
+// the step of Acquire that sets it may still be queued; that step runs before this one.
 func (l *Leases) abandon(team string, tokens int64, verdicts chan quota.Verdict, number *uint64) {
 	_ = l.post(context.Background(), func(now clock.Reading) {
 		delete(l.pending, *number)
--- a/internal/ratelimit/static.go
+++ b/internal/ratelimit/static.go
@@ -11,10 +11,11 @@
 // Static is the Limiter that gives each of a fixed number of VMs an equal part of
 // every team's rate and burst. It never exceeds the limits and needs no
 // coordination, but it divides the burst: a request larger than one part is never
-// admitted, and demand that arrives at a single VM is limited to one part. It is
-// the baseline that Leases is measured against.
+// admitted (Acquire answers it with CausePartShort and a RetryAfter of 0), and demand
+// that arrives at a single VM is limited to one part. It is the baseline that Leases
+// is measured against.
 type Static struct {
-	parts int64
+	vms   int64
 	clock func() time.Duration
 	mu    sync.Mutex
 	teams map[string]*staticTeam
@@ -25,14 +26,14 @@
 	bucket *quota.Bucket
 }
 
-// NewStatic returns a limiter without teams for one VM out of parts VMs. The clock
+// NewStatic returns a limiter without teams for one VM out of vms VMs. The clock
 // returns the time since any fixed origin. A nil clock selects the monotonic clock.
-func NewStatic(parts int, clock func() time.Duration) *Static {
+func NewStatic(vms int, clock func() time.Duration) *Static {
 	if clock == nil {
 		start := time.Now()
 		clock = func() time.Duration { return time.Since(start) }
 	}
-	return &Static{parts: int64(max(parts, 1)), clock: clock, teams: make(map[string]*staticTeam)}
+	return &Static{vms: int64(max(vms, 1)), clock: clock, teams: make(map[string]*staticTeam)}
 }
 
 // SetLimits implements Limiter. It keeps the balances of the teams that already
@@ -43,7 +44,7 @@
 	defer s.mu.Unlock()
 	next := make(map[string]*staticTeam, len(limits))
 	for _, limit := range limits {
-		rate, depth := limit.Rate*quota.NanoPerToken/s.parts, limit.Burst*quota.NanoPerToken/s.parts
+		rate, depth := limit.Rate*quota.NanoPerToken/s.vms, limit.Burst*quota.NanoPerToken/s.vms
 		team, known := s.teams[limit.Team]
 		if known {
 			team.limit = limit
--- a/internal/standin/engine_batch.go
+++ b/internal/standin/engine_batch.go
@@ -8,8 +8,9 @@
 )
 
 const (
-	// prefillChunk is how many prompt tokens a step reads while requests
-	// generate; a step in which none generates reads prefillOnlyChunk.
+	// prefillChunk is the largest number of prompt tokens that a step prefills,
+	// over all requests together, if some request has finished its prefill before
+	// the step. prefillOnlyChunk is the number if none has.
 	prefillChunk     = 128
 	prefillOnlyChunk = 1024
 	// maxFinishedStreams is how many finished streams can still be resumed.
@@ -52,8 +53,9 @@
 	}
 }
 
-// kvUsed returns the KV cache in bytes that running requests and the prefix
-// cache take, limited to KVCacheReserve.
+// kvUsed returns the number of bytes of KV cache in use, limited to
+// KVCacheReserve: the blocks of the prefix cache, which holds prompts, and the
+// whole output of each running request.
 func (e *Engine) kvUsed() int64 {
 	tokens := len(e.cache.blocks) * blockTokens
 	for _, s := range e.running {
@@ -119,8 +121,10 @@
 	return true
 }
 
-// fillBatch moves waiting streams into the batch while the batch and the KV
-// cache have room. A stream too large for the KV cache runs in an empty batch.
+// fillBatch moves waiting streams into the batch, in the order of the queue,
+// while the batch has fewer than MaxBatch streams and the KV cache has room for
+// the prompt and the whole output of the next one. A stream too large for the KV
+// cache runs if the batch is empty. Streams that are done or lost are dropped.
 func (e *Engine) fillBatch() {
 	budget := int(e.options.KVCacheReserve / e.options.KVBytesPerToken)
 	for _, s := range e.running {
@@ -142,8 +146,9 @@
 	e.records.MaxRunning = max(e.records.MaxRunning, len(e.running))
 }
 
-// planStep spends the step's prefill budget. It returns the streams that
-// generate a token in the step and the step's duration.
+// planStep divides the step's prefill budget among the running streams, in the
+// order of the batch. It returns the streams that generate a token in the step,
+// including those whose prefill the step completes, and the step's duration.
 func (e *Engine) planStep() ([]*stream, time.Duration) {
 	var generating []*stream
 	for _, s := range e.running {
@@ -165,6 +170,8 @@
 		}
 	}
 	duration := time.Duration(float64(read) / e.options.PrefillTokensPerSecond * float64(time.Second))
+	// A step in which no stream generates is shorter by SequenceTime than one in
+	// which a single stream generates.
 	duration += e.options.StepTime + e.options.SequenceTime*time.Duration(len(generating)-1)
 	duration += e.adapterTime()
 	if e.faults.SlowFactor > 1 {
