--- a/cmd/chestnut-demo/main.go
+++ b/cmd/chestnut-demo/main.go
@@ -43,8 +43,8 @@
 			return run(cmd.Context(), telemetry.NewLogger(os.Stderr, log))
 		},
 	}
-	c.Flags().StringVar(&log.Level, "log-level", zerolog.WarnLevel.String(), "lowest level of logged messages")
-	c.Flags().StringVar(&log.Format, "log-format", telemetry.FormatConsole, "format of the log: json or console")
+	c.Flags().StringVar(&log.Level, "log-level", zerolog.WarnLevel.String(), "minimum log level")
+	c.Flags().StringVar(&log.Format, "log-format", telemetry.FormatConsole, "log format: json or console")
 	return c
 }
 
--- a/cmd/chestnut-load/main.go
+++ b/cmd/chestnut-load/main.go
@@ -54,13 +54,13 @@
 		RunE:          func(c *cobra.Command, _ []string) error { return runLoad(c.Context(), &f) },
 	}
 	c.Flags().StringVar(&f.workload, "workload", "", "YAML file that describes the load")
-	c.Flags().StringVarP(&f.output, "output", "o", "table", "format of the report: table or json")
+	c.Flags().StringVarP(&f.output, "output", "o", "table", "report format: table or json")
 	c.Flags().StringVar(&f.plots, "plots", "", "write an HTML page of plots to this file")
-	c.Flags().DurationVar(&f.duration, "duration", 0, "replaces the workload's duration")
-	c.Flags().Uint64Var(&f.seed, "seed", 0, "replaces the workload's seed")
-	c.Flags().StringSliceVar(&f.entries, "entry", nil, "replaces the workload's entries")
-	c.Flags().StringSliceVar(&f.engines, "engine", nil, "replaces the workload's engines")
-	c.Flags().StringSliceVar(&f.services, "service", nil, "replaces the workload's services")
+	c.Flags().DurationVar(&f.duration, "duration", 0, "override the workload's duration")
+	c.Flags().Uint64Var(&f.seed, "seed", 0, "override the workload's seed")
+	c.Flags().StringSliceVar(&f.entries, "entry", nil, "override the workload's entries")
+	c.Flags().StringSliceVar(&f.engines, "engine", nil, "override the workload's engines")
+	c.Flags().StringSliceVar(&f.services, "service", nil, "override the workload's services")
 	c.Flags().BoolVar(&f.check, "check", false, "validate the workload without running it")
 	_ = c.MarkFlagRequired("workload")
 	return c
--- a/cmd/chestnut-standin/main.go
+++ b/cmd/chestnut-standin/main.go
@@ -46,7 +46,7 @@
 		},
 	}
 	c.Flags().StringVar(&file, "config", "", "YAML file that lists the stand-ins")
-	c.Flags().BoolVar(&check, "check", false, "check the configuration file and exit")
+	c.Flags().BoolVar(&check, "check", false, "validate the configuration file and exit")
 	_ = c.MarkFlagRequired("config")
 	return c
 }
--- a/cmd/chestnut-vm/main.go
+++ b/cmd/chestnut-vm/main.go
@@ -31,7 +31,7 @@
 	var level string
 	c := &cobra.Command{
 		Use:           "chestnut-vm",
-		Short:         "Carry callers' requests on a VM of the users' platform",
+		Short:         "Serve callers' requests on a VM of the users' platform",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -43,8 +43,8 @@
 			return run(cmd.Context(), settings, telemetry.LogSettings{Level: level, Format: telemetry.FormatJSON})
 		},
 	}
-	c.Flags().BoolVar(&check, "check", false, "only check the settings")
-	c.Flags().StringVar(&level, "log-level", "info", "debug, info, warn or error")
+	c.Flags().BoolVar(&check, "check", false, "validate the settings and exit")
+	c.Flags().StringVar(&level, "log-level", "info", "minimum log level: debug, info, warn or error")
 	return c
 }
 
--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -15,14 +15,14 @@
 )
 
 func configCommand(o *options) *cobra.Command {
-	return group("config", "Check, change and look at the environment document",
+	return group("config", "Validate, change and inspect the environment document",
 		validateCommand(o), diffCommand(o), applyCommand(o), getCommand(o), historyCommand(o), promoteCommand(o), outcomeCommand(o))
 }
 
 func validateCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "validate FILE",
-		Short: "Check a document without asking any VM",
+		Short: "Validate a document without contacting any VM",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			doc, err := parseFile(args[0])
@@ -51,7 +51,7 @@
 func diffCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "diff FILE",
-		Short: "Show what a document would change in the accepted one",
+		Short: "Show the changes that a document would make to the accepted one",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			wanted, err := parseFile(args[0])
@@ -98,9 +98,9 @@
 	var wait time.Duration
 	c := &cobra.Command{
 		Use:   "apply FILE --base VERSION",
-		Short: "Offer a document that was made from an accepted version",
-		Long: "Offer a document that was made from an accepted version (0 for the first).\n" +
-			"If another version was accepted since, nothing is changed and the difference is shown.",
+		Short: "Submit a document that is based on an accepted version",
+		Long: "Submit a document that is based on an accepted version (0 for the first document).\n" +
+			"If another version has been accepted since, nothing is changed and the difference is shown.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if _, err := parseFile(args[0]); err != nil {
@@ -113,8 +113,8 @@
 			return o.apply(c.Context(), base, string(text), wait)
 		},
 	}
-	c.Flags().Int64Var(&base, "base", 0, "`version` that the document was made from")
-	c.Flags().DurationVar(&wait, "wait", defaultWait, "how long to wait until it is in force at every VM")
+	c.Flags().Int64Var(&base, "base", 0, "`version` that the document is based on")
+	c.Flags().DurationVar(&wait, "wait", defaultWait, "how long to wait until the change is in force at every VM")
 	_ = c.MarkFlagRequired("base")
 	return c
 }
@@ -157,7 +157,7 @@
 			return o.printDocument(config, file)
 		},
 	}
-	c.Flags().Int64Var(&version, "version", 0, "an earlier `version`; 0 is the accepted one")
+	c.Flags().Int64Var(&version, "version", 0, "print an earlier `version`; 0 is the accepted one")
 	c.Flags().StringVar(&file, "file", "", "write the document to a `file`")
 	return c
 }
@@ -206,7 +206,7 @@
 		},
 	}
 	const defaultLimit = 20
-	c.Flags().IntVar(&limit, "limit", defaultLimit, "most `versions` to list")
+	c.Flags().IntVar(&limit, "limit", defaultLimit, "maximum number of `versions` to list")
 	return c
 }
 
@@ -221,7 +221,7 @@
 	var base int64
 	c := &cobra.Command{
 		Use:   "outcome CHANGE_ID --nonce NONCE --base VERSION",
-		Short: "Ask what became of a change whose outcome was unknown",
+		Short: "Look up a change whose outcome was reported as unknown",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			request := operator.ChangeRequest{ChangeID: args[0], Nonce: nonce, BaseVersion: base}
@@ -240,7 +240,7 @@
 		},
 	}
 	c.Flags().StringVar(&nonce, "nonce", "", "the change's nonce")
-	c.Flags().Int64Var(&base, "base", 0, "`version` that the change was made from")
+	c.Flags().Int64Var(&base, "base", 0, "`version` that the change is based on")
 	_ = c.MarkFlagRequired("nonce")
 	_ = c.MarkFlagRequired("base")
 	return c
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -25,7 +25,7 @@
 	ExitConflict = 4
 	// ExitUnknown means that the change may or may not take effect.
 	ExitUnknown = 5
-	// ExitUnreachable means that no VM could be asked or none can reach the
+	// ExitUnreachable means that no VM could be reached or none can reach the
 	// key-value service. Nothing was changed.
 	ExitUnreachable = 6
 	// ExitPartial means that the change is accepted, or a withdrawal is held by
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -13,9 +13,9 @@
 func explainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain REQUEST FILE...",
-		Short: "Tell from collected logs what happened to a request",
-		Long: "Reads the logs of any number of VMs, joins the lines that belong to a request with those about\n" +
-			"its upstreams and its model, and names the input that decided how it ended.",
+		Short: "Explain what happened to a request, based on collected logs",
+		Long: "Read the logs of any number of VMs, join the lines of a request with those about its upstreams\n" +
+			"and its model, and name the input that determined the outcome.",
 		Args: cobra.MinimumNArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			var events []explain.Event
--- a/internal/ctl/keys.go
+++ b/internal/ctl/keys.go
@@ -27,7 +27,7 @@
 func keyDigestCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "digest",
-		Short: "Print the digest of a key that is read from standard input",
+		Short: "Print the digest of a key read from standard input",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			line, err := bufio.NewReader(os.Stdin).ReadString('\n')
@@ -66,7 +66,7 @@
 		},
 	}
 	c.Flags().StringVar(&digest, "digest", "", "the key's `digest`, as printed by key digest")
-	c.Flags().DurationVar(&wait, "wait", defaultWait, "how long to wait until it is in force at every VM")
+	c.Flags().DurationVar(&wait, "wait", defaultWait, "how long to wait until the change is in force at every VM")
 	_ = c.MarkFlagRequired("digest")
 	return c
 }
@@ -75,7 +75,7 @@
 	var digest string
 	c := &cobra.Command{
 		Use:   "withdraw TEAM KEY_ID | withdraw --digest DIGEST",
-		Short: "Withdraw a key for good, at every VM at once",
+		Short: "Withdraw a key permanently, at every VM at once",
 		Args:  cobra.MaximumNArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			clients, err := o.clients()
@@ -91,7 +91,7 @@
 			return o.withdraw(ctx, clients, withdrawn)
 		},
 	}
-	c.Flags().StringVar(&digest, "digest", "", "the key's `digest`, in place of team and key ID")
+	c.Flags().StringVar(&digest, "digest", "", "the key's `digest`, instead of TEAM and KEY_ID")
 	return c
 }
 
--- a/internal/ctl/promote.go
+++ b/internal/ctl/promote.go
@@ -18,17 +18,17 @@
 	var wait time.Duration
 	c := &cobra.Command{
 		Use:   "promote --from URL,...",
-		Short: "Bring the models and routes that proved themselves elsewhere into this environment",
+		Short: "Promote the models and routes of another environment to this one",
 		Long: "Collect the document in force and its evidence from every VM of another environment\n" +
-			"and offer its models and routes to this one. The thresholds of that document decide.",
+			"and submit its models and routes to this one. They are accepted only if the evidence\nmeets the promotion thresholds in that document.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return o.promote(c.Context(), from, fromKey, wait)
 		},
 	}
 	c.Flags().StringSliceVar(&from, "from", nil, "operators' address of every entry VM of the other environment, `URL`")
-	c.Flags().StringVar(&fromKey, "from-key-file", "", "`file` with the operator's key there; the default is the key here")
-	c.Flags().DurationVar(&wait, "wait", defaultWait, "how long to wait until it is in force at every VM")
+	c.Flags().StringVar(&fromKey, "from-key-file", "", "`file` with the operator's key for the other environment; the default is the key for this one")
+	c.Flags().DurationVar(&wait, "wait", defaultWait, "how long to wait until the change is in force at every VM")
 	_ = c.MarkFlagRequired("from")
 	return c
 }
--- a/internal/ctl/reference.go
+++ b/internal/ctl/reference.go
@@ -15,14 +15,14 @@
 	meaning string
 	next    string
 }{
-	{ExitOK, "done, and in force at every VM that was named", ""},
-	{ExitError, "a local failure, such as a file that cannot be read", "nothing was sent; mend it"},
+	{ExitOK, "success; a change is in force at every VM that was specified", ""},
+	{ExitError, "a local failure, such as a file that cannot be read", "nothing was sent; fix the cause"},
 	{ExitUsage, "the command line is wrong", "see `--help`"},
-	{ExitRefused, "refused: a rule is broken, the operator is unknown, or what was named does not exist", "nothing was changed; the message says which rule"},
-	{ExitConflict, "conflict: another change was accepted first, or this one is known not to have taken effect", "nothing was changed; look at the difference and offer again from the accepted version"},
-	{ExitUnknown, "unknown: the change may or may not take effect", "ask again with `config outcome`, as the message says; repeating the command would be a second change"},
-	{ExitUnreachable, "unreachable: no VM could be asked, or none reaches the key-value service", "nothing was changed; see kv-outage.md"},
-	{ExitPartial, "partial: accepted or held, but not seen in force at every VM, or not durable yet", "look at the table; see keys.md and kv-outage.md"},
+	{ExitRefused, "refused: a rule is broken, the operator is unknown, or a named object does not exist", "nothing was changed; the message names the rule"},
+	{ExitConflict, "conflict: another change was accepted first, or this one is known not to have taken effect", "nothing was changed; review the difference and submit again, based on the accepted version"},
+	{ExitUnknown, "unknown: the change may or may not take effect", "look up the outcome with `config outcome`, as shown in the message; repeating the command would be a second change"},
+	{ExitUnreachable, "unreachable: no VM could be reached, or none can reach the key-value service", "nothing was changed; see kv-outage.md"},
+	{ExitPartial, "partial: the change is accepted, or a withdrawal is held by some VMs, but it was not seen in force at every VM or is not durable yet", "check the printed table; see keys.md and kv-outage.md"},
 }
 
 // referenceCommand prints the content of docs/operators/chestnutctl.md. A test
@@ -41,15 +41,15 @@
 
 func writeReference(w io.Writer, root *cobra.Command) {
 	fmt.Fprint(w, "# chestnutctl\n\n",
-		"This page is the output of `chestnutctl reference`; a test holds that it is current.\n\n",
-		"Name the operators' address of every entry VM, since a command asks any of them for a change and then each of them what it has in force. ",
-		"A VM that is down or cut off is passed over. Operators prove themselves with a key, whose digest stands under `operators` in the VMs' settings, ",
-		"or with a certificate that the authority under `tls.operators.authority` has signed.\n\n",
+		"This page is the output of `chestnutctl reference`; a test checks that it is current.\n\n",
+		"Specify the operators' address of every entry VM: a command sends a change to any one of them and then queries each of them for the version in force. ",
+		"A VM that is down or unreachable, or that cannot reach what the call needs, is skipped. Operators authenticate with a key, whose digest is listed under `operators` in the VMs' settings, ",
+		"or with a certificate signed by the authority under `tls.operators.authority`.\n\n",
 		"Shell completion: `chestnutctl completion bash|zsh|fish|powershell`.\n\n## Exit codes\n\n| code | meaning | what to do |\n|---|---|---|\n")
 	for _, e := range exitCodes {
 		fmt.Fprintf(w, "| %d | %s | %s |\n", e.code, e.meaning, e.next)
 	}
-	fmt.Fprint(w, "\n## Flags of every command\n")
+	fmt.Fprint(w, "\n## Global flags\n")
 	writeFlags(w, root.PersistentFlags())
 	fmt.Fprint(w, "\n## Commands\n")
 	walk(root, func(c *cobra.Command) { writeCommand(w, c) })
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -39,7 +39,7 @@
 			return o.printTeams(doc, accepted.Withdrawn)
 		},
 	}
-	return group("team", "Look at the teams", list)
+	return group("team", "Inspect the teams", list)
 }
 
 func (o *options) printTeams(doc *document.Document, withdrawn []string) error {
@@ -67,7 +67,7 @@
 func statusCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Show VMs, upstreams, teams and what is in force, as one VM sees them",
+		Short: "Show VMs, upstreams, teams and the configuration in force, as reported by one VM",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			status, err := callAnyServer(c.Context(), o, func(ctx context.Context, c *operator.Client) (*operator.Status, error) {
@@ -102,7 +102,7 @@
 func planCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "plan",
-		Short: "Show what the planner wants and why",
+		Short: "Show the planner's current plan and the reason for each step",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			plan, err := callAnyServer(c.Context(), o, func(ctx context.Context, c *operator.Client) (*operator.Plan, error) {
@@ -134,12 +134,12 @@
 	var wait time.Duration
 	c := &cobra.Command{
 		Use:   "drain NAME",
-		Short: "Give an upstream or VM no new work and let what runs finish",
-		Long: `Give an upstream or VM no new work and let what runs finish.
+		Short: "Stop sending new work to an upstream or VM and let running work finish",
+		Long: `Stop sending new work to an upstream or VM and let running work finish.
 
-An upstream is drained by a change of the document, so that every VM and the
-planner know of it and a restart does not undo it. A VM is drained by itself:
-NAME must be the VM that --server names.`,
+An upstream is drained by a change of the document, so that the drain applies at
+every VM and in the planner and persists across restarts. A VM drains only itself:
+NAME must be the VM that --server specifies.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			accepted, err := callAnyServer(c.Context(), o, getConfig)
@@ -156,8 +156,8 @@
 			return err
 		},
 	}
-	c.Flags().BoolVar(&undo, "undo", false, "give it work again")
-	c.Flags().DurationVar(&wait, "wait", defaultWait, "how long to wait until it is in force at every VM")
+	c.Flags().BoolVar(&undo, "undo", false, "end the drain and allow new work again")
+	c.Flags().DurationVar(&wait, "wait", defaultWait, "how long to wait until the change is in force at every VM")
 	return c
 }
 
--- a/internal/ctl/tls.go
+++ b/internal/ctl/tls.go
@@ -36,7 +36,7 @@
 // tlsCommand makes certificates for trials. A production environment uses a
 // certificate authority of its own.
 func tlsCommand(o *options) *cobra.Command {
-	return group("tls", "Make a small authority and certificates by IP, for trials", authorityCommand(o), issueCommand(o))
+	return group("tls", "Create a minimal certificate authority and certificates for IP addresses, for trials", authorityCommand(o), issueCommand(o))
 }
 
 func authorityCommand(o *options) *cobra.Command {
@@ -44,7 +44,7 @@
 	var valid time.Duration
 	c := &cobra.Command{
 		Use:   "authority",
-		Short: "Make a new authority: authority.pem and authority.key",
+		Short: "Create a certificate authority: authority.pem and authority.key",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			template, err := template("chestnutarch test authority", valid)
@@ -57,8 +57,8 @@
 			return o.issue(dir, authorityName, template, nil)
 		},
 	}
-	c.Flags().StringVar(&dir, "dir", ".", "`directory` to write to")
-	c.Flags().DurationVar(&valid, "valid", defaultValidity, "how long it is valid")
+	c.Flags().StringVar(&dir, "dir", ".", "`directory` to write the files to")
+	c.Flags().DurationVar(&valid, "valid", defaultValidity, "validity period of the certificate")
 	return c
 }
 
@@ -68,7 +68,7 @@
 	var valid time.Duration
 	c := &cobra.Command{
 		Use:   "issue NAME",
-		Short: "Issue NAME.pem and NAME.key for IP numbers, or for an operator without any",
+		Short: "Issue NAME.pem and NAME.key for the given IP addresses, or without addresses for an operator",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if args[0] != filepath.Base(args[0]) || args[0] == authorityName {
@@ -88,9 +88,9 @@
 			return o.issue(dir, args[0], template, parent)
 		},
 	}
-	c.Flags().StringVar(&dir, "dir", ".", "`directory` with the authority, to write to")
-	c.Flags().IPSliceVar(&ips, "ip", nil, "`IP` numbers that the certificate is for")
-	c.Flags().DurationVar(&valid, "valid", defaultValidity, "how long it is valid")
+	c.Flags().StringVar(&dir, "dir", ".", "`directory` of the authority's files, to which the new files are also written")
+	c.Flags().IPSliceVar(&ips, "ip", nil, "`IP` addresses that the certificate is for")
+	c.Flags().DurationVar(&valid, "valid", defaultValidity, "validity period of the certificate")
 	return c
 }
 
--- a/internal/process/command.go
+++ b/internal/process/command.go
@@ -65,8 +65,8 @@
 			return d.run(cmd.Context(), s)
 		},
 	}
-	c.Flags().StringVar(&file, "config", "", "YAML file of settings (see docs/SETTINGS.md)")
-	c.Flags().BoolVar(&checkOnly, "check", false, "only check the settings")
+	c.Flags().StringVar(&file, "config", "", "YAML file with the settings (see docs/SETTINGS.md)")
+	c.Flags().BoolVar(&checkOnly, "check", false, "validate the settings and exit")
 	_ = c.MarkFlagRequired("config")
 	return c
 }
