--- a/internal/aggregate/counters.go
+++ b/internal/aggregate/counters.go
@@ -37,8 +37,9 @@
 }
 
 // maxReportGap is the longest time between two reports of a source of which the difference
-// is added to the sums. After a longer gap, the source has reported through another VM,
-// whose sums have reached the other VMs, so adding the difference would count it twice.
+// is added to the sums. During a longer gap, the source is assumed to have reported to
+// another VM, whose sums have reached the other VMs, so adding the difference would count it
+// twice.
 const maxReportGap = 1500 * time.Millisecond
 
 // SetOwn sets the totals that this VM has counted since its start. Names that are missing
--- a/internal/aggregate/counters_test.go
+++ b/internal/aggregate/counters_test.go
@@ -83,7 +83,7 @@
 
 // A hub sends hundreds of reports a second about a thousand names. A report with all names
 // would take milliseconds of the hub's processor and of each receiver's link.
-func TestReceiversAreToldOfChangesOnly(t *testing.T) {
+func TestReportsHoldChangesOnly(t *testing.T) {
 	version := &Version{}
 	c := NewCounters[Count](1, version)
 	c.SetOwn(map[string]Count{"x": 3, "y": 4})
--- a/internal/aggregate/levels_test.go
+++ b/internal/aggregate/levels_test.go
@@ -12,7 +12,7 @@
 
 // A VM's work on an engine ends. Reports that hold only changes must hold the zero too, or
 // the engine would look busy to their receivers for good.
-func TestLevelThatFallsToZeroIsTold(t *testing.T) {
+func TestLevelThatFallsToZeroIsReported(t *testing.T) {
 	version := &Version{}
 	l := NewLevels[Count](time.Second, version)
 	l.SetOwn(map[string]Count{"e1": 1})
@@ -42,7 +42,7 @@
 
 // Upstreams are replaced under new names. The names of removed ones must not accumulate, and
 // a receiver that still has them needs one complete report.
-func TestNamesThatAreGoneAreForgotten(t *testing.T) {
+func TestNamesOfRemovedUpstreamsArePruned(t *testing.T) {
 	version := &Version{}
 	l := NewLevels[Count](time.Second, version)
 	l.SetOwn(map[string]Count{"first": 1})
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -140,7 +140,7 @@
 	Services map[string]*Service
 	// Teams is empty if no request needs a key.
 	Teams map[string]*Team
-	// RateUnit is the unit of teams' rates. PlainTokens is the charge, in tokens, for a
+	// RateUnit is the unit of teams' rates. DefaultTokens is the charge, in tokens, for a
 	// request that does not state its tokens.
 	RateUnit      Unit
 	DefaultTokens int
--- a/internal/explain/lateness.go
+++ b/internal/explain/lateness.go
@@ -65,10 +65,10 @@
 const pauseLookback = 150 * time.Millisecond
 
 // countSends counts the sends of other requests to the upstream in a period, and their
-// uncached prompt tokens. It leaves out those of the VM except; "" includes all VMs.
-func (r *Report) countSends(except string, from, to time.Time) (requests, tokens int) {
+// uncached prompt tokens. Sends of excludedVM are not counted; "" excludes none.
+func (r *Report) countSends(excludedVM string, from, to time.Time) (requests, tokens int) {
 	for _, e := range r.competingSends {
-		if (except == "" || e.VM != except) && !e.Time.Before(from) && !e.Time.After(to) {
+		if (excludedVM == "" || e.VM != excludedVM) && !e.Time.Before(from) && !e.Time.After(to) {
 			requests++
 			tokens += e.Uncached
 		}
--- a/internal/explain/report.go
+++ b/internal/explain/report.go
@@ -123,7 +123,7 @@
 	case "upstream_failure":
 		return fmt.Sprintf("upstream %s ran it and answered %d", last.Upstream, last.Status)
 	case "caller_left":
-		return fmt.Sprintf("the caller left after %.0f ms", last.Duration)
+		return fmt.Sprintf("the caller disconnected after %.0f ms", last.Duration)
 	}
 	return last.Outcome
 }
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -61,7 +61,7 @@
 	idleDeadline time.Time
 }
 
-// NewPool returns an empty pool whose connections fail according to the limits.
+// NewPool returns an empty pool whose connections have the timeouts of the limits.
 func NewPool(l transport.Limits) *Pool {
 	return &Pool{dialer: transport.NewDialer(l), idle: make(map[string][]*conn)}
 }
--- a/internal/peer/pieces.go
+++ b/internal/peer/pieces.go
@@ -92,7 +92,7 @@
 // ReceivePieces calls the peer at address and reads a message in pieces. The call fails if the
 // first piece does not arrive within firstPieceTimeout or a later one within pieceTimeout;
 // the total time is not limited. It returns the time from the first piece with data to the
-// last one, and the errors of Call.
+// last one. Errors are those of Call, and ErrTooLarge, wrapped.
 func (p *Pool) ReceivePieces(ctx context.Context, address string, firstPieceTimeout time.Duration, open OpenStream, message proto.Message) (transferTime time.Duration, err error) {
 	c, err := p.connection(address)
 	if err != nil {
--- a/internal/peer/pieces_test.go
+++ b/internal/peer/pieces_test.go
@@ -15,10 +15,10 @@
 	"github.com/chestnutarch/chestnutarch/internal/peer/peerpb"
 )
 
-// slowPeer sends a piece each time the test asks for one and answers no report.
+// slowPeer sends a piece each time the test asks for one and does not answer reports.
 type slowPeer struct {
 	peerpb.UnimplementedVMsServer
-	// nextPiece causes one piece to be sent; closing it ends the message.
+	// Each value in nextPiece causes one piece to be sent; closing it ends the message.
 	nextPiece chan struct{}
 	// released is closed to end calls that get no answer.
 	released chan struct{}
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -12,7 +12,7 @@
 // exchanges a second, cost a VM less than a hundredth of a core.
 const MeshLimit = 12
 
-// VM describes a VM to the plan of another one.
+// VM describes a VM for the computation of a Plan.
 type VM struct {
 	Name, Domain string
 	// Capacity is the bandwidth of the VM's link in Mbit/s. The VM with the widest link of
--- a/internal/traffic/acquire.go
+++ b/internal/traffic/acquire.go
@@ -48,34 +48,34 @@
 	if !errors.As(err, &refused) || !refused.Holdable {
 		return false
 	}
-	until := req.HoldUntil(j.request.Arrived, err)
-	repeated := began.Add(j.due.Sub(j.request.Arrived) / repeatHoldDivisor)
-	if j.sends > 0 && repeated.After(until) {
-		until = repeated
+	holdUntil := req.HoldUntil(j.request.Arrived, err)
+	repeatUntil := began.Add(j.due.Sub(j.request.Arrived) / repeatHoldDivisor)
+	if j.sends > 0 && repeatUntil.After(holdUntil) {
+		holdUntil = repeatUntil
 	}
-	return time.Now().Before(until)
+	return time.Now().Before(holdUntil)
 }
 
 const (
 	// maxAdapterRequests bounds how often one request asks the leader for an adapter:
 	// engines may unload it again before the request reaches them.
 	maxAdapterRequests = 5
-	// repeatHoldDivisor is the divisor of a request's objective that gives how long the
-	// request may wait for a slot on another upstream after one has failed it.
+	// repeatHoldDivisor limits how long a request that has been sent before may wait for a
+	// slot on another upstream: for its objective divided by repeatHoldDivisor.
 	repeatHoldDivisor = 4
 )
 
 func (j *job) assignRequest() assign.Request {
-	if j.parts == nil && len(j.request.Parts) > 0 {
+	if j.prefixes == nil && len(j.request.Parts) > 0 {
 		ids := make([]string, len(j.request.Parts))
 		tokens := make([]int, len(j.request.Parts))
 		for i, p := range j.request.Parts {
 			ids[i], tokens[i] = p.ID, p.Tokens
 		}
-		j.parts = assign.Prefixes(j.request.Model, j.request.Adapter, ids, tokens)
+		j.prefixes = assign.Prefixes(j.request.Model, j.request.Adapter, ids, tokens)
 	}
 	return assign.Request{
-		Service: j.service, Model: j.request.Model, Adapter: j.request.Adapter, Prefixes: j.parts,
+		Service: j.service, Model: j.request.Model, Adapter: j.request.Adapter, Prefixes: j.prefixes,
 		PromptTokens: j.request.PromptTokens, OutputTokens: j.request.expectedOutput(),
 		StartBy: j.due, Deadline: j.deadline, MaxGap: j.route.GapObjective, Urgency: j.urgency, Avoid: j.avoid,
 	}
--- a/internal/traffic/core.go
+++ b/internal/traffic/core.go
@@ -85,7 +85,8 @@
 // Closing reports whether callers should close their connections.
 func (c *Core) Closing() bool { return c.closing.Load() }
 
-// RefuseNew makes Serve refuse every later request as not run.
+// RefuseNew makes Serve refuse every later request. Such requests are not run, and their
+// callers may retry.
 func (c *Core) RefuseNew() { c.refusing.Store(true) }
 
 // BodyLimit returns the largest request body accepted, in bytes.
--- a/internal/traffic/job.go
+++ b/internal/traffic/job.go
@@ -54,7 +54,7 @@
 	// have run it.
 	sends, possibleRuns int
 	avoid               map[string]bool
-	parts               []assign.Prefix
+	prefixes            []assign.Prefix
 	// lastEventID is the ID of the last event forwarded; responseBegun means that a
 	// response was begun.
 	lastEventID   string
--- a/internal/traffic/request.go
+++ b/internal/traffic/request.go
@@ -37,7 +37,8 @@
 	// Model and Adapter are empty for plain services, Adapter also for base models.
 	Model, Adapter string
 	// PromptTokens is the size of the prompt and OutputTokens the largest number of
-	// tokens that may be generated. Counted means that the caller sent both.
+	// tokens that may be generated. TokensDeclared means that the caller
+	// sent both.
 	PromptTokens, OutputTokens int
 	TokensDeclared             bool
 	// Parts holds the parts of the prompt in order.
@@ -95,8 +96,8 @@
 	ErrNotSent = errors.New("traffic: the request was not sent")
 	// ErrUnknown means that the request was sent and may or may not have run.
 	ErrUnknown = errors.New("traffic: the request may have run")
-	// ErrMismatchedReply means that the upstream sent the response to another request. The
-	// request itself may have run.
+	// ErrMismatchedReply means that the response belongs to another request, or is a success
+	// without the upstream's signature. The request itself may have run.
 	ErrMismatchedReply = errors.New("traffic: the answer belongs to another request")
 	// ErrTruncated means that a response ended before it was complete. What the caller
 	// has received must not look complete.
@@ -125,7 +126,7 @@
 	Refuse(r Refusal)
 	// WriteResponse writes an upstream's complete response.
 	WriteResponse(status int, header http.Header, body []byte)
-	// Begin starts an upstream's response whose body follows in calls of Pass.
+	// Begin starts an upstream's response whose body follows in calls of WriteChunk.
 	Begin(status int, header http.Header)
 	// WriteChunk writes a piece of the body. It reaches the caller after Flush.
 	WriteChunk(piece []byte) error
--- a/internal/traffic/starting_test.go
+++ b/internal/traffic/starting_test.go
@@ -33,7 +33,7 @@
 
 // The VM cannot read a configuration. Its caller must be refused while it still has time to try
 // another VM.
-func TestRequestIsNotHeldLongByAVMThatKnowsNothing(t *testing.T) {
+func TestRequestIsNotHeldLongWithoutConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(resumable, map[string]script{"only": oneEvent})
 		f.core = New(f.core.options)
