--- a/internal/assign/assigner.go
+++ b/internal/assign/assigner.go
@@ -132,10 +132,10 @@
 }
 
 // SetContents replaces the leader's record of what an engine holds.
-func (s *Assigner) SetContents(instance string, k Contents) {
+func (s *Assigner) SetContents(instance string, record Contents) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n := s.nodes[instance]; n != nil && n.contents.setLeaderItems(k) {
+	if n := s.nodes[instance]; n != nil && n.contents.setLeaderItems(record) {
 		s.signalFreed()
 	}
 }
--- a/internal/assign/assigner_test.go
+++ b/internal/assign/assigner_test.go
@@ -50,7 +50,7 @@
 // each. The VMs must choose the same engine without exchanging reports.
 func TestVMsPreferTheSameEngineForASharedPrefix(t *testing.T) {
 	now := time.Now()
-	homes := map[string]bool{}
+	preferred := map[string]bool{}
 	for kind := range 40 {
 		var first string
 		for vm := range 5 {
@@ -61,9 +61,9 @@
 			}
 			require.Equal(t, first, c.Instance)
 		}
-		homes[first] = true
+		preferred[first] = true
 	}
-	require.Greater(t, len(homes), 5, "prompts of 40 kinds must be spread over most of 8 engines")
+	require.Greater(t, len(preferred), 5, "prompts of 40 kinds must be spread over most of 8 engines")
 }
 
 // Prompts of one kind arrive faster than one engine prefills them. They must go to other
@@ -82,7 +82,7 @@
 // Far more prompts arrive than the engines can start in time. The excess must be refused at
 // once with a retry delay, since prefilling it would delay the next prompts too. What was
 // accepted can still start within its objective.
-func TestPromptsThatWouldBeginTooLateAreRefused(t *testing.T) {
+func TestPromptsThatWouldStartTooLateAreRefused(t *testing.T) {
 	s, now := testAssigner("engines", 2), time.Now()
 	accepted := 0
 	for own := range 100 {
@@ -298,17 +298,17 @@
 
 // A caller requests a model that is not in the configuration. It can never be loaded, so
 // the refusal comes at once; a request for a model that can be loaded is held.
-func TestOnlyLoadableModelsAreHeldFor(t *testing.T) {
+func TestRequestsAreHeldOnlyForLoadableModels(t *testing.T) {
 	s, now := testAssigner("engines", 1), time.Now()
 	s.SetContents("i-0", Contents{Orders: 1})
-	for model, waits := range map[string]bool{"m": true, "nobody-knows": false} {
+	for model, holdable := range map[string]bool{"m": true, "nobody-knows": false} {
 		req := draftRequest(1, 1, now)
 		req.Model = model
 		_, err := s.Choose(req, now)
 		var refused *Refused
 		require.ErrorAs(t, err, &refused)
 		require.ErrorIs(t, err, ErrNotLoaded)
-		require.Equal(t, waits, refused.Holdable, model)
+		require.Equal(t, holdable, refused.Holdable, model)
 	}
 }
 
--- a/internal/assign/choose.go
+++ b/internal/assign/choose.go
@@ -14,7 +14,8 @@
 	// Beyond it an engine preempts requests in the middle of their streams.
 	maxKVShare = 0.85
 	// maxLateBacklog is the largest backlog of an engine that is given a request whose
-	// objective is already missed. Such a request is worth little, so it only fills gaps.
+	// objective is already missed. Such a request is worth little, so it goes only to an
+	// engine with a small backlog.
 	maxLateBacklog = 150 * time.Millisecond
 	// holdDivisor sets how long a request may be held for a place before it is refused: its
 	// objective divided by this.
--- a/internal/assign/contents.go
+++ b/internal/assign/contents.go
@@ -23,8 +23,8 @@
 	// every new request for it. A request that is sent there costs a round trip and a retry
 	// from the retry budget.
 	leaving map[string]bool
-	// added and missing are the items that this VM has since learnt of from the leader's
-	// answers and from rejections.
+	// added and missing are corrections to these records: the items that the engine holds, or
+	// does not hold, according to the leader's answers and to rejections since.
 	added, missing map[string]bool
 	// items is the merged result.
 	items map[string]bool
@@ -43,12 +43,12 @@
 
 // setLeaderItems applies the leader's record and reports whether it differs from the
 // previous one.
-func (c *contents) setLeaderItems(k Contents) (changed bool) {
-	next, leaving := setOf(k.Items), setOf(k.Leaving)
-	if k.Orders == c.leaderOrders && maps.Equal(next, c.leaderItems) && maps.Equal(leaving, c.leaving) {
+func (c *contents) setLeaderItems(record Contents) (changed bool) {
+	next, leaving := setOf(record.Items), setOf(record.Leaving)
+	if record.Orders == c.leaderOrders && maps.Equal(next, c.leaderItems) && maps.Equal(leaving, c.leaving) {
 		return false
 	}
-	c.leaderItems, c.leaderOrders, c.leaving = next, k.Orders, leaving
+	c.leaderItems, c.leaderOrders, c.leaving = next, record.Orders, leaving
 	clear(c.added)
 	clear(c.missing)
 	c.merge()
--- a/internal/assign/rank.go
+++ b/internal/assign/rank.go
@@ -55,7 +55,7 @@
 // otherwise its preferred engine and a few that are drawn by the request's hash. Reports
 // reach all VMs of a large fleet at about the same moment, and each VM would send its next
 // requests to the one engine that looks best in them, while other engines that hold the
-// model have next to nothing to do.
+// model are almost idle.
 func (s *Assigner) sample(engines []*node, preferred *node, req Request) []*node {
 	if s.vms <= smallFleet || len(engines) <= sampleSize || len(req.Prefixes) == 0 {
 		return engines
--- a/internal/assign/speed.go
+++ b/internal/assign/speed.go
@@ -72,11 +72,11 @@
 // steps, and longer steps keep the slots taken for longer.
 func (s *Assigner) work(spec *catalog.EngineSpec, model string, promptTokens, outputTokens int) time.Duration {
 	p := s.speedOf(model)
-	places := 1
+	slots := 1
 	if spec != nil {
-		places = max(1, spec.BatchSlots)
+		slots = max(1, spec.BatchSlots)
 	}
-	steps := p.outputShare * float64(outputTokens) * float64(p.step) / float64(places)
+	steps := p.outputShare * float64(outputTokens) * float64(p.step) / float64(slots)
 	return time.Duration(promptTokens)*p.prefillPerToken + time.Duration(steps)
 }
 
--- a/internal/assign/types.go
+++ b/internal/assign/types.go
@@ -7,8 +7,9 @@
 )
 
 var (
-	// ErrNoUpstream means that no instance of the service accepts requests.
-	ErrNoUpstream = errors.New("assign: no upstream takes work")
+	// ErrNoUpstream means that no instance of the service accepts requests, or that the request
+	// has failed at every instance that could serve it.
+	ErrNoUpstream = errors.New("assign: no upstream can take the request")
 	// ErrNotLoaded means that no engine holds the model.
 	ErrNotLoaded = errors.New("assign: no engine holds the model")
 	// ErrAdapterNotLoaded means that engines hold the model but none the adapter.
--- a/internal/assign/work.go
+++ b/internal/assign/work.go
@@ -152,13 +152,13 @@
 // knownLoad returns the work that is known to be at an instance.
 func (s *Assigner) knownLoad(n *node, req Request, now time.Time) KnownLoad {
 	total := n.total(now, s.speedOf(req.Model).prefillPerToken)
-	b := KnownLoad{Requests: total.requests, PeerRequests: total.requests - n.local.requests, PrefillTokens: total.prefillTokens}
+	known := KnownLoad{Requests: total.requests, PeerRequests: total.requests - n.local.requests, PrefillTokens: total.prefillTokens}
 	for _, r := range n.peers {
 		if age := now.Sub(r.receivedAt); age <= reportLifetime {
-			b.ReportAge = max(b.ReportAge, age)
+			known.ReportAge = max(known.ReportAge, age)
 		}
 	}
-	return b
+	return known
 }
 
 // Started records the first event of a choice, or the answer of a service without engines.
@@ -214,7 +214,7 @@
 // Outcome is how an exchange ended, as far as the upstream is concerned.
 type Outcome int
 
-// The outcomes. Neutral says nothing about the upstream, as when the caller left.
+// The outcomes. Neutral says nothing about the upstream, as when the caller disconnected.
 const (
 	Succeeded Outcome = iota
 	Failed
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -42,8 +42,8 @@
 	Prefix string
 	// LeaseMin is the shortest lease of the store.
 	LeaseMin time.Duration
-	// TakeoverDelay is the takeover delay: how long a new leader waits before it acts if another
-	// process led before it.
+	// TakeoverDelay is how long a new leader waits before it acts if another process led before
+	// it.
 	TakeoverDelay time.Duration
 	Clock         clock.Func
 	// Eligible reports whether this VM may campaign for the lease now. Nil means always.
@@ -71,7 +71,7 @@
 	leaderItem store.Item
 	hasLeader  bool
 	// lastElection is the item of the last election that took effect. lastWon is the token
-	// of the last election that this process knows to have won.
+	// of the last election that this process won and received the reply for.
 	lastElection store.Item
 	lastWon      int64
 	observed     bool
@@ -143,7 +143,7 @@
 }
 
 // HasTerm reports whether this VM has won an election and has not learned that the term ended.
-// Authority that has lapsed may return while it does.
+// Authority that has lapsed may return while this VM has the term.
 func (c *Candidate) HasTerm() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -185,8 +185,8 @@
 }
 
 // renew renews the lease. A lease that can be renewed has not expired, so nobody else can have
-// led meanwhile, however long the store was unavailable, and the term continues. Until the
-// renewal succeeds, authority has lapsed by this VM's own clock.
+// led meanwhile, however long the store was unavailable, and the term continues. Authority
+// still lapses by this VM's own clock and returns when a renewal succeeds.
 func (c *Candidate) renew(ctx context.Context) {
 	sent := c.options.Clock()
 	err := c.options.Store.Renew(ctx, c.leaseID)
--- a/internal/residency/balance.go
+++ b/internal/residency/balance.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// balanceRounds is how often the demand of all models is redistributed in turn. After a few
+// balanceRounds is how many times the demand of all models is redistributed in turn. After a few
 // rounds the loads hardly change.
 const balanceRounds = 3
 
--- a/internal/residency/models.go
+++ b/internal/residency/models.go
@@ -31,15 +31,15 @@
 	// minDemandPerCopy of the model that replaces it.
 	maxVictimRatio = 0.4
 	// idleDemand is the demand, as a fraction of an engine's time, below which a model counts
-	// as not requested at present: what remains of the longest prompt after about ten
-	// seconds.
+	// as not requested at present: what remains of the demand of the longest prompt after
+	// about ten seconds of decay.
 	idleDemand = 0.0013
 	// protectedLoad is the load of a model's engines above which none of its copies is evicted
 	// for a model with far less demand.
 	protectedLoad = 0.5
 	// missingModelRatio is how many times the demand for a missing model a copy of another
 	// model must carry to be kept in its place. Without the copy, some callers of its model
-	// are refused; without the missing model, all of its callers are.
+	// are refused; until the missing model is loaded, all of its callers are.
 	missingModelRatio = 8
 	// maxVictimInFlight is how many requests an evicted model may have in flight. Most
 	// streams take two to three seconds, so few of them end before the load is due.
--- a/internal/residency/models_test.go
+++ b/internal/residency/models_test.go
@@ -141,7 +141,7 @@
 // A rarely requested model gets one long prompt, which looks like the demand of a fraction of
 // an engine. Copying the model to another engine would use up a load that a model with real
 // demand needs.
-func TestSinglePromptMovesNothing(t *testing.T) {
+func TestSinglePromptCausesNoMoves(t *testing.T) {
 	f := Fleet{
 		Spec: testSpec(2), StoreLoadBudget: 5, Engines: []Engine{engine("a", "m0", "m1"), engine("b", "m0")},
 		Demand: map[string]float64{"m1": 0.8, "m0": 1.067}, MinDemand: map[string]float64{"m1": 0, "m0": 0.8},
--- a/internal/teamrate/admit_probability.go
+++ b/internal/teamrate/admit_probability.go
@@ -12,8 +12,8 @@
 	// minReportingShare is the part of the VMs whose reports must be current for the
 	// average to represent the demand at all VMs.
 	minReportingShare = 0.5
-	// startupPeriod is how long after it first received a list of peers a VM admits requests
-	// without that average, and startupProbability the probability of admission meanwhile, which
+	// startupPeriod is how long a VM admits requests without that average after it first received
+	// a list of peers. startupProbability is the probability of admission meanwhile, which
 	// applies while a team's bucket is low. If callers send several times a team's rate through
 	// VMs that have all just started, this probability keeps what the VMs admit within the
 	// tolerance until they receive each other's reports.
--- a/internal/teamrate/limiter.go
+++ b/internal/teamrate/limiter.go
@@ -17,10 +17,10 @@
 	// rate. Below it a team is near its rate, and what all VMs admit before they receive
 	// each other's reports would exceed the rate.
 	lowFraction = 0.6
-	// overcommit is how much of the rate a VM may use then, as a multiple of its equal
-	// part: callers are never spread quite evenly. overcommitAggregated applies where some
-	// VMs report for many: reports then take up to three rounds, so all VMs together may
-	// run ahead by less.
+	// overcommit is how much of the rate a VM may use while a bucket is low, as a multiple
+	// of its equal part: callers are never spread quite evenly. overcommitAggregated applies
+	// where some VMs report for many: reports then take up to three rounds, so all VMs
+	// together may run ahead by less.
 	overcommit           = 1.6
 	overcommitAggregated = 1.15
 	// localBurst is how far a VM may run ahead of its local rate: about one report
@@ -28,9 +28,10 @@
 	localBurst = 300 * time.Millisecond
 	// toleranceBurstShare and toleranceRefillShare are the parts of the tolerated excess
 	// that are added to the capacity of every bucket and to its refill in each window. The
-	// tolerance exists because many VMs cannot count as exactly as one. What their late
-	// reports do not need of it (in the tests, seven VMs overshoot by up to a tenth of a
-	// window) goes to the team, so that a small rate is not refused needlessly.
+	// tolerance exists because many VMs cannot count as exactly as one. The part of it that
+	// late reports do not use up (in the tests, seven VMs overshoot by up to a tenth of a
+	// window) goes to the team, so that requests within a small rate are not refused
+	// needlessly.
 	toleranceBurstShare  = 0.15
 	toleranceRefillShare = 0.4
 	// takeoverPeriod is how long after the last report for many VMs those VMs are assumed
--- a/internal/teamrate/limiter_test.go
+++ b/internal/teamrate/limiter_test.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	testSlack  = 110_000.0
-	testExcess = 0.1
-	testWindow = 8 * time.Second
-	testTick   = 10 * time.Millisecond
-	testReport = 250 * time.Millisecond
-	testLag    = 20 * time.Millisecond
-	testJitter = 250 * time.Millisecond
+	testToleranceUnits = 110_000.0
+	testExcessShare    = 0.1
+	testWindow         = 8 * time.Second
+	testTick           = 10 * time.Millisecond
+	testReport         = 250 * time.Millisecond
+	testLag            = 20 * time.Millisecond
+	testJitter         = 250 * time.Millisecond
 )
 
 // testRates are the rates of a small, a usual and a large team.
@@ -62,7 +62,7 @@
 
 func (w *simulation) restart(i int) {
 	w.incarnations[i] = w.now.UnixNano() + int64(i)
-	w.limiters[i] = New(Tolerance{Units: testSlack, Window: testWindow}, w.incarnations[i])
+	w.limiters[i] = New(Tolerance{Units: testToleranceUnits, Window: testWindow}, w.incarnations[i])
 	w.limiters[i].SetLimits(map[string]Limit{"team": {Rate: w.rate, Burst: w.rate}}, w.now)
 	if !w.startIsolated {
 		w.limiters[i].SetPeers(w.others(i), w.now)
@@ -140,7 +140,7 @@
 }
 
 func (w *simulation) allowed() float64 {
-	return (w.rate*testWindow.Seconds()+w.rate)*(1+testExcess) + testSlack
+	return (w.rate*testWindow.Seconds()+w.rate)*(1+testExcessShare) + testToleranceUnits
 }
 
 func evenDemand(n int, total float64) []float64 {
@@ -308,7 +308,7 @@
 func TestReportAfterOneWithoutTeamsIsApplied(t *testing.T) {
 	now := time.Now()
 	levelAfter := func(used float64) float64 {
-		l := New(Tolerance{Units: testSlack, Window: testWindow}, 1)
+		l := New(Tolerance{Units: testToleranceUnits, Window: testWindow}, 1)
 		l.SetLimits(map[string]Limit{"team": {Rate: 1000, Burst: 1000}}, now)
 		l.SetPeers(map[string]int{"b": 1}, now)
 		l.ApplyReport("b", 2, nil, nil, now)
--- a/internal/vm/adapters.go
+++ b/internal/vm/adapters.go
@@ -115,8 +115,8 @@
 }
 
 // ensureAdapter makes sure that an engine holds an adapter, through the leader if that is another
-// VM, and returns the engine's ID. It returns ErrNotLeader if this VM does not lead and knows no
-// other leader or not its address.
+// VM, and returns the engine's ID. It returns ErrNotLeader if this VM does not lead and does not
+// know another leader and its address.
 func (p *Process) ensureAdapter(ctx context.Context, service, model, adapter string) (string, error) {
 	if _, ok := p.candidate.Authority(); ok {
 		return p.planner.ensureAdapter(ctx, service, model, adapter)
--- a/internal/vm/contents.go
+++ b/internal/vm/contents.go
@@ -9,8 +9,8 @@
 	"github.com/chestnutarch/chestnutarch/internal/peer/peerpb"
 )
 
-// contentsTable holds the leader's knowledge of the engines' contents and relays it in reports:
-// the leader reports to only a few VMs, and the others need to know just as soon where a model
+// contentsTable holds the leader's record of the engines' contents, which VMs relay in reports:
+// the leader reports to only a few VMs, and the others need to learn as quickly where a model
 // or an adapter can be used.
 type contentsTable struct {
 	mu sync.Mutex
--- a/internal/vm/contents_test.go
+++ b/internal/vm/contents_test.go
@@ -11,7 +11,7 @@
 
 // The leader of a fleet with twelve thousand engines changes, and the contents of all engines are
 // new to every VM. A single report of them would not arrive within the time of an exchange over a
-// narrow link, and after a failed exchange everything is sent again: VMs would never learn which
+// narrow link, and after a failed exchange all contents are sent again: VMs would never learn which
 // engines hold which models.
 func TestContentsOfManyEnginesAreToldInParts(t *testing.T) {
 	const engines = 12_000
--- a/internal/vm/instances.go
+++ b/internal/vm/instances.go
@@ -82,8 +82,8 @@
 	p.applyInstances(next)
 }
 
-// immediateReturnTime is how long after a failed call of the store an entry that returns counts as
-// available at once.
+// immediateReturnTime is how long after a failed call of the store an entry that reappears counts
+// as available at once.
 const immediateReturnTime = 5 * time.Second
 
 // applyInstances makes a table of instances the one that requests are routed by. Of a VM's first
--- a/internal/vm/orders.go
+++ b/internal/vm/orders.go
@@ -95,8 +95,8 @@
 	return errors.Wrapf(ErrOrder, "engine %s restarted or accepted orders that this leader does not know", state.instance.ID)
 }
 
-// invalidate drops the state of an engine that is not certain. The engine is read again after
-// readRetryInterval.
+// invalidate drops the state of an engine, because it may differ from what the engine holds. The
+// engine is read again after readRetryInterval.
 func (l *planner) invalidate(state *engineState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -130,11 +130,11 @@
 	}
 }
 
-// refresh reads an engine and updates its state. It returns false if the state is not certain:
-// the engine did not answer, or it has accepted an order that the state does not count, such as
-// one of an earlier leader that was carried out late. A model that such an order loads is not
-// reported until the load ends, so the state is invalidated and read again when the engine is
-// idle.
+// refresh reads an engine and updates its state. It returns false if the state may differ from
+// what the engine holds: the engine did not answer, or it has accepted an order that the state
+// does not count, such as one of an earlier leader that was carried out late. A model that such
+// an order loads is not reported until the load ends, so the state is invalidated and read again
+// when the engine is idle.
 func (l *planner) refresh(ctx context.Context, state *engineState) bool {
 	report, err := l.p.replicas.Report(ctx, state.instance)
 	if err != nil {
--- a/internal/vm/plan.go
+++ b/internal/vm/plan.go
@@ -36,8 +36,8 @@
 }
 
 // lowerBound is a lower bound of the demand, one standard deviation below the average. Prompts
-// are large and few: without it a single prompt would make its model look busy and have the
-// model loaded on another engine.
+// are large and few: without this bound, a single prompt would make its model look busy, and the
+// model would be loaded on another engine.
 func (r *demandRate) lowerBound() float64 {
 	if r.requests <= 1 {
 		return 0
@@ -72,7 +72,7 @@
 	l.startup.recordRequest(now)
 	previous := l.demandByVM[vm]
 	if previous == nil || previous.incarnation != incarnation {
-		// Requests from before the first report of this incarnation are not present demand.
+		// Requests from before the first report of this incarnation are not current demand.
 		l.demandByVM[vm] = &reportedDemand{incarnation: incarnation, totals: demand}
 		return
 	}
@@ -167,8 +167,8 @@
 const storeRateFraction = 0.9
 
 // storeLoadBudget returns how many loads from the weight store may begin now: within its rate,
-// and no more at once than the rate sustains at full speed, given the longest load time. It must
-// be called with the lock held.
+// and with no more loads in progress than the store sustains at full speed, which is its rate
+// times the longest load time. It must be called with the lock held.
 func (l *planner) storeLoadBudget(spec *catalog.EngineSpec) int {
 	if spec.LoadsPerSecond <= 0 {
 		return len(l.states)
--- a/internal/vm/planner_test.go
+++ b/internal/vm/planner_test.go
@@ -284,9 +284,9 @@
 	require.Equal(t, "1", engine.Runs()[0].Header.Get("X-Chestnutarch-Request-Priority"))
 }
 
-// A leader of hundreds of engines has a fifth of a processor. If it began the next plan right
-// after the last one, callers of that VM would constantly wait for planning.
-func TestPlansLeaveTheProcessorToCallers(t *testing.T) {
+// A leader of hundreds of engines has a fifth of a processor. If it began each plan right after
+// the previous one, callers of that VM would constantly wait for planning.
+func TestPlanningTakesLimitedShareOfProcessor(t *testing.T) {
 	require.Equal(t, planInterval, planPause(time.Millisecond))
 	took := 300 * time.Millisecond
 	require.InDelta(t, maxPlanShare, took.Seconds()/(took+planPause(took)).Seconds(), 1e-6)
