--- a/internal/assign/assigner_test.go
+++ b/internal/assign/assigner_test.go
@@ -132,7 +132,7 @@
 
 // A replica fails half of its requests while its health checks succeed. It must be ejected
 // after a few failures and tried again later.
-func TestFailingUpstreamIsLeftAlone(t *testing.T) {
+func TestFailingUpstreamIsEjected(t *testing.T) {
 	s, now := testAssigner("clerks", 2), time.Now()
 	failed := 0
 	for i := range 400 {
@@ -152,7 +152,7 @@
 }
 
 // All instances of a service have failed lately. A try may succeed, a refusal cannot.
-func TestLastUpstreamIsTriedAllTheSame(t *testing.T) {
+func TestOnlyUpstreamIsUsedWhileEjected(t *testing.T) {
 	s, now := testAssigner("clerks", 1), time.Now()
 	for range 10 {
 		c, err := s.Choose(Request{Service: "clerks", StartBy: now, Deadline: now.Add(time.Second)}, now)
--- a/internal/kv/kvtest/memory.go
+++ b/internal/kv/kvtest/memory.go
@@ -263,7 +263,7 @@
 func (m *Memory) ready() error {
 	m.expire()
 	if m.faults.Outage {
-		return errors.Wrap(kv.ErrUnavailable, "injected outage")
+		return errors.Wrap(kv.ErrUnavailable, "outage")
 	}
 	return nil
 }
--- a/internal/residency/models_test.go
+++ b/internal/residency/models_test.go
@@ -31,7 +31,7 @@
 
 // A crash removes the only copy of a model that is requested a few times a minute. Each of its
 // callers would be refused until an engine holds it again.
-func TestMissingModelComesBack(t *testing.T) {
+func TestMissingModelIsRestored(t *testing.T) {
 	f := Fleet{Spec: testSpec(3), StoreLoadBudget: 1, Engines: []Engine{engine("a", "m0", "m1"), engine("b", "m0", "m1")}}
 	moves := PlanModels(f)
 	require.Len(t, moves, 1)
@@ -43,7 +43,7 @@
 // the fourth model would keep the busiest model from a second engine. It is evicted, since the
 // engine keeps its weights locally, and is reloaded on demand. It is kept while requests for
 // it are in flight.
-func TestModelThatNobodyAsksForMakesWay(t *testing.T) {
+func TestIdleModelIsEvictedForBusyModel(t *testing.T) {
 	f := func(running int) Fleet {
 		a, b := engine("a", "m0", "m1"), engine("b", "m2", "m3")
 		b.LocalWeights["m3"], b.LocalWeights["m0"] = true, true
--- a/internal/teamrate/limiter_test.go
+++ b/internal/teamrate/limiter_test.go
@@ -230,7 +230,7 @@
 // All VMs are killed at once and start again while a team sends several times its rate. For
 // a moment each knows no peers; if each admitted the whole rate, together they would admit
 // a multiple of it.
-func TestVMsThatAllStartAtOnceMakeNoMoreOfARate(t *testing.T) {
+func TestSimultaneousStartDoesNotExceedRate(t *testing.T) {
 	for i := range 3 * 8 {
 		seed, rate := uint64(i/3), testRates[i%3]
 		r := rand.New(rand.NewPCG(seed, 5))
@@ -258,7 +258,7 @@
 // than half of its rate. Each VM receives one of its requests every few seconds. A VM that
 // admitted only what its local rate gives in that time would refuse nearly all of them
 // until the bucket has filled: callers would wait for seconds while the fleet is idle.
-func TestTeamInsideItsRateIsServedSoonAfterAllVMsStartAgain(t *testing.T) {
+func TestTeamBelowItsRateIsServedSoonAfterRestartOfAllVMs(t *testing.T) {
 	const fleet, rate = 40, 100_000.0
 	requested, refused := 0.0, 0.0
 	for seed := range uint64(12) {
--- a/internal/vm/contents_test.go
+++ b/internal/vm/contents_test.go
@@ -13,7 +13,7 @@
 // new to every VM. A single report of them would not arrive within the time of an exchange over a
 // narrow link, and after a failed exchange all contents are sent again: VMs would never learn which
 // engines hold which models.
-func TestContentsOfManyEnginesAreToldInParts(t *testing.T) {
+func TestContentsOfManyEnginesAreSentInParts(t *testing.T) {
 	const engines = 12_000
 	leader, follower := newContentsTable(), newContentsTable()
 	var all []*peerpb.EngineContents
--- a/internal/vm/move.go
+++ b/internal/vm/move.go
@@ -127,7 +127,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if report.Born != state.born || report.OrdersAccepted > state.ordersAccepted {
+	if report.Incarnation != state.born || report.OrdersAccepted > state.ordersAccepted {
 		return false, errors.Wrapf(ErrOrder, "engine %s restarted or accepted orders that this leader does not know", state.instance.ID)
 	}
 	return report.OrdersAccepted == state.ordersAccepted && !report.Busy, nil
--- a/internal/vm/orders.go
+++ b/internal/vm/orders.go
@@ -78,7 +78,7 @@
 		return err
 	}
 	l.mu.Lock()
-	known := report.Born == state.born
+	known := report.Incarnation == state.born
 	if known && report.OrdersAccepted <= accepted {
 		l.mu.Unlock()
 		return errors.Wrap(errBusy, state.instance.ID)
@@ -141,7 +141,7 @@
 		return false
 	}
 	l.mu.Lock()
-	known := report.Born == state.born && report.OrdersAccepted <= state.ordersAccepted
+	known := report.Incarnation == state.born && report.OrdersAccepted <= state.ordersAccepted
 	if known {
 		state.update(report)
 	}
--- a/internal/vm/planner.go
+++ b/internal/vm/planner.go
@@ -228,10 +228,10 @@
 // update replaces the state by a report. Reports are some hundred milliseconds old: one from
 // before the last accepted order is ignored.
 func (s *engineState) update(r *platform.Report) {
-	if r.Born == s.born && r.OrdersAccepted < s.ordersAccepted {
+	if r.Incarnation == s.born && r.OrdersAccepted < s.ordersAccepted {
 		return
 	}
-	s.born, s.ordersAccepted = r.Born, r.OrdersAccepted
+	s.born, s.ordersAccepted = r.Incarnation, r.OrdersAccepted
 	s.models, s.adapters = make(map[string]bool), make(map[string]bool)
 	s.localWeights, s.inMemory = make(map[string]bool), make(map[string]bool)
 	for _, m := range r.Models {
--- a/internal/vm/planner_test.go
+++ b/internal/vm/planner_test.go
@@ -13,7 +13,7 @@
 
 // A caller requests an adapter that no engine holds, at a VM that does not lead. The leader has
 // the adapter loaded, and the caller gets its response.
-func TestAdapterIsBroughtWhenItIsAskedFor(t *testing.T) {
+func TestRequestedAdapterIsLoaded(t *testing.T) {
 	engine := standin.NewReplica("engine-1", 2, "m0")
 	c := newCluster(t, engine)
 	a, b := c.start("a"), c.start("b")
@@ -31,7 +31,7 @@
 // The reply to an order is lost although the engine carried it out. Sent again with the same
 // number of accepted orders, the order is refused, and the engine's report shows the adapter: it
 // must be neither loaded twice nor given up.
-func TestOrderWhoseAnswerIsLostIsSettled(t *testing.T) {
+func TestOrderWithLostReplyIsResolved(t *testing.T) {
 	engine := standin.NewReplica("engine-1", 2, "m0")
 	engine.DropOrderAnswers(1)
 	c := newCluster(t, engine)
@@ -51,7 +51,7 @@
 // A leader dies while an engine loads a model on its order. The engine does not list the model
 // yet. A successor that relied on the list would order one model more than fits, and the engine
 // would crash with everything that it serves.
-func TestSuccessorWaitsForALoadUnderWay(t *testing.T) {
+func TestSuccessorWaitsForLoadInProgress(t *testing.T) {
 	engine := standin.NewReplica("engine-1", 2, "m0")
 	engine.SetLoadTime(1500 * time.Millisecond)
 	c := newCluster(t, engine)
@@ -189,7 +189,7 @@
 // The leader is asked to stop, as in a rolling restart. Its successor will give no orders for
 // seconds, so the leader continues to lead as long as it may, and callers that need an adapter
 // still get it.
-func TestStoppingLeaderLeadsOn(t *testing.T) {
+func TestStoppingLeaderContinuesToLead(t *testing.T) {
 	c := newCluster(t, standin.NewReplica("engine-1", 2, "m0"))
 	a, b := c.start("a"), c.start("b")
 	c.eventually(func() bool { return a.fleet.size() == 2 && b.fleet.size() == 2 })
@@ -295,7 +295,7 @@
 // All VMs lose power and restart, and one of them leads three seconds later. It has observed
 // requests for only a moment, so models that are requested every few seconds appear idle. If they
 // counted as idle, they would be evicted by the dozen and their next callers refused.
-func TestSuccessorTakesWhatItFindsForAskedFor(t *testing.T) {
+func TestSuccessorCountsFoundModelsAsUsed(t *testing.T) {
 	now := time.Now()
 	countsAsUsed := func(hasPredecessor bool, firstRequestAt time.Time) bool {
 		l := newPlanner(nil)
