--- a/internal/vm/addresses.go
+++ b/internal/vm/addresses.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Addresses implements platform.Directory. VMs of all failure domains are returned, not just
-// those of the caller's: every VM carries its share of the load, and callers choose at
-// random.
+// Addresses implements platform.Directory. VMs of all failure domains are returned, not
+// only those of the caller's domain: callers choose an address at random, and every VM has to
+// get its share of the load.
 func (f *fleet) Addresses(domain string) ([]string, time.Duration) {
 	now := time.Now()
 	f.mu.Lock()
--- a/internal/vm/addresses_test.go
+++ b/internal/vm/addresses_test.go
@@ -8,9 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against VMs that no caller is sent to. 82 VMs are ready and an answer names 64. With
-// the same selection for all callers, 18 VMs would be idle while the others refuse requests.
-func TestEveryVMIsNamedToCallersOfSomeDomain(t *testing.T) {
+// Guards against VMs that no caller is sent to. 82 VMs are ready and an answer has 64
+// addresses. With the same selection for all callers, 18 VMs would be idle while the others
+// refuse requests.
+func TestEveryVMIsReturnedToSomeDomain(t *testing.T) {
 	var all []string
 	for i := range 82 {
 		all = append(all, fmt.Sprintf("10.0.0.%d:80", i))
--- a/internal/vm/aggregator.go
+++ b/internal/vm/aggregator.go
@@ -107,9 +107,9 @@
 	update(a.roster)
 }
 
-// fillReport adds the counters, loads and roster to a report: those that its scope covers and
+// fillReport adds counters, loads and the roster to a report: those that its scope covers and
 // that have changed since a version that the receiver has acknowledged. If the changes since
-// that version are no longer known, everything that the scope covers.
+// that version are no longer known, it adds everything that the scope covers.
 func (a *aggregator) fillReport(out *peerpb.VMReport, scope topology.Scope, receiver string, since uint64, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/vm/change_log.go
+++ b/internal/vm/change_log.go
@@ -7,8 +7,8 @@
 const maxRemovals = 512
 
 // changeLog numbers the changes of a view, so that other VMs can be sent only what they lack.
-// The store's revisions would not do: a key that is kept for a while after the store has
-// removed it changes here when it leaves the view.
+// The store's revisions cannot be used for this: a key that is kept for a while after the
+// store has removed it changes here only later, when it leaves the view.
 type changeLog struct {
 	// number is the number of the newest change.
 	number int64
--- a/internal/vm/configuration_lag.go
+++ b/internal/vm/configuration_lag.go
@@ -17,8 +17,8 @@
 	behindSince time.Time
 }
 
-// peerHas records the revision of the configuration in force at another VM.
-func (l *configurationLag) peerHas(revision int64, now time.Time) {
+// recordPeerRevision records the revision of the configuration in force at another VM.
+func (l *configurationLag) recordPeerRevision(revision int64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.applied >= l.newest && revision > l.applied {
--- a/internal/vm/configuration_lag_test.go
+++ b/internal/vm/configuration_lag_test.go
@@ -10,8 +10,8 @@
 	"github.com/chestnutarch/chestnutarch/platform/standin"
 )
 
-// A VM learns that a newer configuration exists but cannot get it. Callers on a route that
-// was just added were told that it does not exist, and callers were sent to this VM for as
+// A VM learns that a newer configuration exists but cannot get it. Requests for a route
+// that was just added were answered with status 404, and callers were sent to this VM for as
 // long as it ran.
 func TestVMThatLacksAConfigurationDoesNotDenyRoutes(t *testing.T) {
 	c := newCluster(t, standin.NewReplica("clerk-1", 0))
@@ -20,7 +20,7 @@
 	require.Equal(t, http.StatusNotFound, c.send(v, unknown).status)
 
 	newer := v.configuration().Revision + 1
-	v.configurationLag.peerHas(newer, time.Now())
+	v.configurationLag.recordPeerRevision(newer, time.Now())
 	require.True(t, v.ready(), "the VM stays ready while the configuration may still arrive in time")
 	got := c.send(v, unknown)
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
@@ -30,20 +30,20 @@
 	require.Equal(t, http.StatusOK, c.send(v, call{method: "GET", path: "/look/"}).status, "a known route must be served")
 
 	v.configurationLag = configurationLag{applied: newer - 1}
-	v.configurationLag.peerHas(newer, time.Now().Add(-v.settings.Bounds.Configuration-time.Second))
+	v.configurationLag.recordPeerRevision(newer, time.Now().Add(-v.settings.Bounds.Configuration-time.Second))
 	require.False(t, v.ready())
 	c.configure(nil)
 	c.eventually(func() bool { return v.ready() })
 	require.Equal(t, http.StatusNotFound, c.send(v, unknown).status)
 }
 
-// Configurations follow each other faster than they come in force. A VM that is always one
-// behind for a moment must not count as having been behind all the time.
+// Configurations follow each other faster than they come into force. A VM that is one
+// behind for a moment each time must not count as having been behind all the time.
 func TestVMThatKeepsUpIsNotBehind(t *testing.T) {
 	var lag configurationLag
 	now := time.Now()
 	for revision := range int64(100) {
-		lag.peerHas(revision+2, now)
+		lag.recordPeerRevision(revision+2, now)
 		lag.apply(revision+1, now)
 		now = now.Add(100 * time.Millisecond)
 		require.LessOrEqual(t, lag.behind(now), 100*time.Millisecond)
@@ -58,7 +58,7 @@
 	var lag configurationLag
 	now := time.Now()
 	lag.apply(7, now)
-	lag.peerHas(7, now)
-	lag.peerHas(5, now)
+	lag.recordPeerRevision(7, now)
+	lag.recordPeerRevision(5, now)
 	require.Zero(t, lag.behind(now.Add(time.Minute)))
 }
--- a/internal/vm/dispatch_notifier.go
+++ b/internal/vm/dispatch_notifier.go
@@ -19,25 +19,26 @@
 	// dispatchCallInterval is the least time between two calls to a VM. Dispatches in between
 	// are sent in one call.
 	dispatchCallInterval = 8 * time.Millisecond
-	// dispatchCallTimeout bounds a call. After this time the next report has carried the same
-	// loads.
+	// dispatchCallTimeout bounds a call. One that takes longer is of no use, since the next
+	// report carries the same loads.
 	dispatchCallTimeout = 150 * time.Millisecond
 )
 
-// dispatchNotifier notifies the other VMs of a small fleet at once of requests that this one
-// sends to engines.
+// dispatchNotifier notifies the other VMs of a small fleet as soon as this one sends a request
+// to an engine.
 //
-// Reports are exchanged four times a second. In between, every VM would send its prompts to
-// an engine as if it were the only one, and the engine reads them all between two steps: all
-// of its running streams stall for that time. In a large fleet a VM sends to the same engine
-// so rarely that notifying every other VM would cost more than it gains.
+// Reports are exchanged four times a second. Without notifications, every VM would send its
+// prompts to an engine in between as if it were the only one. The engine reads all new prompts
+// between two steps, and all of its running streams stall for that time. In a large fleet a VM
+// sends to the same engine so rarely that notifying every other VM would cost more than it
+// gains.
 type dispatchNotifier struct {
 	fleet *fleet
 	queue chan string
 
 	mu sync.Mutex
-	// pending holds the engines whose loads have to be sent, by VM; calling the VMs to which
-	// calls are in progress.
+	// pending holds the engines whose loads have to be sent, by VM. calling holds the VMs to
+	// which calls are in progress.
 	pending map[string]map[string]bool
 	calling map[string]bool
 }
--- a/internal/vm/exchange.go
+++ b/internal/vm/exchange.go
@@ -105,9 +105,9 @@
 }
 
 // fetchConfiguration reads a newer configuration from another VM: the store may refuse this
-// VM while others have already received the withdrawal of a key. Every report that names a
-// newer configuration calls this. Only one fetch runs at a time, since concurrent ones would
-// compete for the bandwidth of the link.
+// VM while others already have a configuration in which a key is withdrawn. Every report that
+// names a newer configuration may call this. Only one fetch runs at a time, since concurrent
+// ones would compete for the bandwidth of the link.
 func (f *fleet) fetchConfiguration(ctx context.Context, address string) {
 	if !f.fetchingConfiguration.CompareAndSwap(false, true) {
 		return
--- a/internal/vm/fleet.go
+++ b/internal/vm/fleet.go
@@ -34,12 +34,12 @@
 	standbyInterval = time.Second
 	// exchangeTimeout bounds one exchange.
 	exchangeTimeout = 700 * time.Millisecond
-	// peerTimeout is how long no report of a VM may arrive before callers are no longer sent
+	// peerTimeout is the time without a report of a VM after which callers are no longer sent
 	// to it. After half of it, the partner that usually waits for exchanges starts them too,
 	// and a hub no longer counts the VM as taking callers.
 	peerTimeout = 1500 * time.Millisecond
-	// removalTimeout is how long a VM that is neither registered nor heard from stays a
-	// member.
+	// removalTimeout is how long a VM that is not registered stays a member after it was last
+	// seen alive.
 	removalTimeout = 5 * time.Second
 	// addressLifetime is how long callers may cache an address answer. They ask again at this
 	// interval; until then, a VM that has died costs them a failed connection attempt.
@@ -229,8 +229,8 @@
 	}
 }
 
-// expireMembers removes the members that are neither registered nor heard from, and updates
-// the plan. It must be called with the lock held.
+// expireMembers removes the members that are not registered and have not been seen for
+// removalTimeout, and updates the plan. It must be called with the lock held.
 func (f *fleet) expireMembers(now time.Time) {
 	for vm, m := range f.members {
 		if !m.registered && now.Sub(f.lastSeen(vm, m)) > removalTimeout {
@@ -267,7 +267,7 @@
 	}
 	for vm, m := range f.members {
 		if weights[vm] == 0 {
-			// Its reports no longer count, and what they reported before is discarded.
+			// Its reports no longer count, and what it reported before is discarded.
 			m.applied = progress{}
 		}
 	}
@@ -353,8 +353,8 @@
 	return at
 }
 
-// takesCallers reports whether callers may be sent to a VM: a hub that lists it was heard
-// from within a time, or it has said so itself and was last seen within that time. It must be
+// takesCallers reports whether callers may be sent to a VM: a hub that lists it has reported
+// within a time, or the VM counts as ready and was last seen within that time. It must be
 // called with the lock held.
 func (f *fleet) takesCallers(vm string, m *member, seen time.Time, within time.Duration, now time.Time) bool {
 	return now.Sub(f.rosterTime(vm)) < within || (m.ready && now.Sub(seen) < within)
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -44,8 +44,8 @@
 	// the largest age at which a hub's view is followed. The rest is for detecting a stale
 	// hub and reading the store.
 	staleDivisor = 2
-	// hubPauseDivisor divides the same time, which gives the pause between two watches of a
-	// hub. The pause has to be well below the largest age.
+	// hubPauseDivisor divides the same time, which gives a hub's pause between two watches of
+	// the store. The pause has to be well below the largest age.
 	hubPauseDivisor = 8
 )
 
@@ -77,8 +77,8 @@
 	return "", false
 }
 
-// allHubsFailed reports whether this VM has hubs to follow, and watches the store since all
-// of them are in backoff.
+// allHubsFailed reports whether this VM has hubs to follow but all of them are in backoff, so
+// that it watches the store itself.
 func (t *tracker) allHubsFailed() bool {
 	if len(t.hubClient.hubs()) == 0 {
 		return false
@@ -231,8 +231,8 @@
 	return out, nil
 }
 
-// changesSince returns the changes of the view since a change number, with the changed items
-// apart from the message.
+// changesSince returns the changes of the view since a change number. The changed items are
+// returned separately and are not yet part of the message.
 func (t *tracker) changesSince(incarnation, since int64) (*peerpb.FollowResponse, []store.Item, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/vm/hubs_test.go
+++ b/internal/vm/hubs_test.go
@@ -42,12 +42,12 @@
 func newHubSimulation() *hubSimulation {
 	s := &hubSimulation{now: time.Now(), applied: make(map[[2]int]progress), partitioned: func(int, int) bool { return false }}
 	for i := range hubTestVMs {
-		born := s.now.UnixNano() + int64(i)
-		l := teamrate.New(teamrate.Tolerance{Units: hubTestSlack, Window: hubTestWindow}, born)
+		started := s.now.UnixNano() + int64(i)
+		l := teamrate.New(teamrate.Tolerance{Units: hubTestSlack, Window: hubTestWindow}, started)
 		l.SetLimits(map[string]teamrate.Limit{"team": {Rate: hubTestRate, Burst: hubTestRate}}, s.now)
 		s.vms = append(s.vms, topology.VM{Name: fmt.Sprintf("vm-%02d", i), Domain: fmt.Sprint(i % 4)})
-		s.incarnations = append(s.incarnations, born)
-		s.limiters, s.aggregators = append(s.limiters, l), append(s.aggregators, newAggregator(born))
+		s.incarnations = append(s.incarnations, started)
+		s.limiters, s.aggregators = append(s.limiters, l), append(s.aggregators, newAggregator(started))
 	}
 	return s
 }
@@ -67,7 +67,8 @@
 const exchangeTicks = 25
 
 // exchange runs the exchanges that are due at a tick, except with VMs that are silent. VMs
-// start at different moments, so a report takes up to three turns through two hubs.
+// start at different moments, so it takes up to three exchange intervals until
+// a report has passed two hubs.
 func (s *hubSimulation) exchange(tick int) {
 	for i := range s.vms {
 		if (tick+7*i)%exchangeTicks != 0 {
@@ -196,15 +197,16 @@
 }
 
 // Links between some VMs are cut, and VMs disagree on which ones are silent: a failure domain
-// has two hubs, each of which treats the other as one of its own VMs. If one passed on sums
-// that the other had received from it, sums would grow without limit and every team would be
-// refused.
+// has two hubs, each of which treats the other as one of its own VMs. If one passed on
+// sums that the other had received from it, the sums would grow without limit and the requests
+// of every team would be refused.
 func TestTwoHubsOfADomainDoNotCountEachOther(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 11))
 	s := newHubSimulation()
 	s.run(r, 400, hubTestRate/1.8)
 	s.partitioned = func(i, j int) bool {
-		// vm-00 is heard neither by the other failure domains nor by half of its own.
+		// vm-00 is cut off from the other failure domains, and from 6 of the 14 other VMs of
+		// its own.
 		cut := func(k int) bool { return k%4 != 0 || k%8 == 4 && k > 4 }
 		return (j == 0 && cut(i)) || (i == 0 && cut(j))
 	}
--- a/internal/vm/large_configuration_test.go
+++ b/internal/vm/large_configuration_test.go
@@ -41,16 +41,14 @@
 	}
 }
 
-// Guards against configurations that never arrive over narrow links. An operator added 1,400
-// routes, twice. VMs with wide links had the new configuration at once; those with links of
-// 10 Mbit/s kept the old one for good, while partial answers filled their links. Callers were
-// served by routes that had been removed seconds before, and most requests were late. Calls
-// of the store and of hubs had a timeout for the whole answer; a link of 10 Mbit/s carries
-// less than the configuration in that time, and each new call began from zero.
-//
-// The cause showed in the logs: those VMs wrote "311221 of 863477 bytes received in 702ms"
-// for a store that had not failed a call, repeatedly until the end, and no VM with a wide
-// link did.
+// Guards against configurations that never arrive over links of 10 Mbit/s, as after an
+// operator added 1,400 routes twice. Calls of the store and of hubs had a timeout for the
+// whole answer; a link of 10 Mbit/s carries less than the configuration in that time, and each
+// new call began from zero. VMs with such links logged "311221 of 863477 bytes received in
+// 702ms" repeatedly until the end, although the store had not failed a call, and kept the old
+// configuration for good. They served routes that had been removed seconds before, and most
+// requests were late, while partial answers filled the links. VMs with wide links had the new
+// configuration at once and logged no such line.
 func TestLargeConfigurationComesInForceOverNarrowLinks(t *testing.T) {
 	c := newCluster(t)
 	toHubs, links := c.startWithNarrowLinks()
@@ -62,10 +60,10 @@
 	c.configure(enlargeKeys(scaleDown, 1))
 	c.waitConfigurationEverywhere()
 	// The bytes that a link carries in the time in which a configuration has to be in force.
-	most := int64(narrowLink / scaleDown * c.vms[0].settings.Bounds.Configuration.Seconds())
-	require.Less(t, toHubs.received.Load()-before, most*int64(len(links)))
+	maxReceived := int64(narrowLink / scaleDown * c.vms[0].settings.Bounds.Configuration.Seconds())
+	require.Less(t, toHubs.received.Load()-before, maxReceived*int64(len(links)))
 	for i, l := range links {
-		require.Less(t, l.received.Load()-fromStore[i], most, "link %d: too many bytes received from the store", i)
+		require.Less(t, l.received.Load()-fromStore[i], maxReceived, "link %d: too many bytes received from the store", i)
 	}
 }
 
--- a/internal/vm/logs_test.go
+++ b/internal/vm/logs_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every event in the logs is described on the page of logs, and every event on the page is
-// logged: an engineer on call must be able to look up each of them.
-func TestEveryEventIsOnThePageOfLogs(t *testing.T) {
-	written := make(map[string]bool)
+// Every logged event is described in docs/LOGS.md, and every event described there is logged:
+// an engineer on call must be able to look up each of them.
+func TestLoggedEventsAreDocumented(t *testing.T) {
+	logged := make(map[string]bool)
 	name := regexp.MustCompile(`Str\("event", "([a-z_]+)"\)`)
 	for _, dir := range []string{".", "../traffic", "../leadership", "../telemetry"} {
 		files, err := filepath.Glob(dir + "/*.go")
@@ -25,15 +25,15 @@
 			text, err := os.ReadFile(file)
 			require.NoError(t, err)
 			for _, m := range name.FindAllStringSubmatch(string(text), -1) {
-				written[m[1]] = true
+				logged[m[1]] = true
 			}
 		}
 	}
 	page, err := os.ReadFile("../../docs/LOGS.md")
 	require.NoError(t, err)
-	explained := make(map[string]bool)
+	documented := make(map[string]bool)
 	for _, m := range regexp.MustCompile("(?m)^\\| `([a-z_]+)` \\|").FindAllStringSubmatch(string(page), -1) {
-		explained[m[1]] = true
+		documented[m[1]] = true
 	}
-	require.Equal(t, explained, written)
+	require.Equal(t, documented, logged)
 }
--- a/internal/vm/path_test.go
+++ b/internal/vm/path_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestRefusalsOfOurOwn(t *testing.T) {
+func TestRequestsThatTheVMItselfRefuses(t *testing.T) {
 	c := newCluster(t, standin.NewReplica("clerk-1", 0))
 	v := c.start("a")
 	require.Equal(t, http.StatusNotFound, c.send(v, call{method: "GET", path: "/nowhere/"}).status)
@@ -59,8 +59,8 @@
 }
 
 // A starting VM has a configuration in force a moment before it knows any upstream, or gets
-// it from another VM while the store refuses it. Callers that were sent there by then were
-// refused although upstreams were free.
+// it from another VM while the store refuses it. Callers that were sent there in that
+// state were refused although upstreams were free.
 func TestVMIsNotReadyBeforeItKnowsUpstreams(t *testing.T) {
 	c := newCluster(t, standin.NewReplica("clerk-1", 0))
 	running := c.start("a")
@@ -77,8 +77,8 @@
 }
 
 // A clerk replica loses its connection while it files a deed, and it cannot be known whether
-// the deed was filed. The caller is told so, and the filing is not sent again: a second one
-// would be a rejected case.
+// the deed was filed. The caller gets status 502, and the filing is not sent again: a
+// second one would be a rejected case.
 func TestFilingIsNotRepeatedWhenTheConnectionBreaks(t *testing.T) {
 	one, two := standin.NewReplica("clerk-1", 0), standin.NewReplica("clerk-2", 0)
 	one.Fail, two.Fail = abort, abort
@@ -181,8 +181,8 @@
 }
 
 // The operator's system and others also write to the store. An entry that cannot be parsed
-// names no instance, and a broken part of a configuration does not affect the rest.
-func TestUnreadablePartsTakeNothingElseDown(t *testing.T) {
+// yields no instance, and a broken part of a configuration does not affect the rest.
+func TestUnreadablePartsDoNotAffectOthers(t *testing.T) {
 	c := newCluster(t, standin.NewReplica("clerk-1", 0))
 	v := c.start("a")
 	c.store.PutBytes("servers/ghost", []byte("{nonsense"))
@@ -197,8 +197,7 @@
 	require.Equal(t, http.StatusOK, c.send(v, call{method: "GET", path: "/look/"}).status)
 }
 
-// A VM is stopped while a request runs and while callers still hold its address. The running
-// answer is delivered in full, and late requests are refused as not executed.
+// A VM is stopped while a request runs. The running answer is delivered in full.
 func TestStopCutsNothing(t *testing.T) {
 	slow := standin.NewReplica("clerk-1", 0)
 	c := newCluster(t, slow)
--- a/internal/vm/process.go
+++ b/internal/vm/process.go
@@ -278,8 +278,8 @@
 }
 
 // applyProjectKeys applies the keys of this project. The registrations of VMs are read only
-// if any of these keys has changed: a revision is never given twice, so every change shows in
-// the newest revision or in the number of keys.
+// if any of these keys has changed: the store never assigns a revision twice, so every change
+// alters the newest revision or the number of keys.
 func (p *Process) applyProjectKeys(v view) {
 	// Called for every view: a candidate that has lost its lease stands for election again
 	// only once it has seen a further view.
--- a/internal/vm/reports.go
+++ b/internal/vm/reports.go
@@ -106,7 +106,7 @@
 	if r.ViewRevision > f.process.tracker.viewRevision() {
 		f.process.applyPeerDepartures(r.Leaving)
 	}
-	f.process.configurationLag.peerHas(r.ConfigurationRevision, now)
+	f.process.configurationLag.recordPeerRevision(r.ConfigurationRevision, now)
 	// A VM that follows a hub gets the same configuration in the hub's next answer.
 	if r.ConfigurationRevision > f.process.configuration().Revision && !f.process.tracker.followsHub() {
 		go f.fetchConfiguration(context.WithoutCancel(ctx), address)
--- a/internal/vm/reports_test.go
+++ b/internal/vm/reports_test.go
@@ -52,8 +52,8 @@
 }
 
 // A report contains the changes since a version that this VM has not applied, as after a
-// change of its hub. If it counted, a team's earlier usage would be lost, or all of it would
-// count as used just now.
+// change of its hub. If it were applied, a team's earlier usage would be lost, or all of it
+// would count as used just now.
 func TestReportThatBuildsOnAnUnknownOneIsNotCounted(t *testing.T) {
 	v := idleVM(t)
 	v.fleet.updateRegistrations(map[string]store.Item{vmPrefix + "b": {
@@ -78,9 +78,9 @@
 }
 
 // Three hundred VMs learn from their hubs four times a second which VMs take callers. If each
-// report named all of these, that would be most of the control traffic; a VM that stops
-// taking callers has to be reported all the same.
-func TestHubTellsOnceWhoTakesCallers(t *testing.T) {
+// report listed all of these, that would be most of the control traffic. A report lists only
+// changes, which include VMs that stop taking callers.
+func TestHubReportsOnlyRosterChanges(t *testing.T) {
 	version := &aggregate.Version{}
 	r := newRoster(version)
 	for i := range 300 {
@@ -105,7 +105,7 @@
 
 // The VMs do not change. Three hundred of them that recomputed their plans four times a
 // second spent as much processor time on it as on callers.
-func TestPlanIsMadeAnewOnlyWhenVMsChange(t *testing.T) {
+func TestPlanIsRecomputedOnlyWhenVMsChange(t *testing.T) {
 	v := idleVM(t)
 	plan := func() *topology.Plan {
 		v.fleet.startDueExchanges(false)
--- a/internal/vm/roster.go
+++ b/internal/vm/roster.go
@@ -17,8 +17,8 @@
 
 type rosterEntry struct {
 	// sameDomain is set for VMs of this VM's failure domain.
-	sameDomain, alive bool
-	changedAt         uint64
+	sameDomain, takesCallers bool
+	changedAt                uint64
 }
 
 func newRoster(version *aggregate.Version) *roster {
@@ -26,10 +26,10 @@
 }
 
 // set records whether a VM takes callers.
-func (r *roster) set(vm string, sameDomain, alive bool) {
+func (r *roster) set(vm string, sameDomain, takesCallers bool) {
 	e, known := r.vms[vm]
-	if (known || alive) && (e.alive != alive || e.sameDomain != sameDomain) {
-		r.vms[vm] = rosterEntry{sameDomain: sameDomain, alive: alive, changedAt: r.version.Next()}
+	if (known || takesCallers) && (e.takesCallers != takesCallers || e.sameDomain != sameDomain) {
+		r.vms[vm] = rosterEntry{sameDomain: sameDomain, takesCallers: takesCallers, changedAt: r.version.Next()}
 	}
 }
 
@@ -40,19 +40,19 @@
 // removeUnknown records that VMs for which known returns false take no callers. Once there
 // are too many entries of VMs that take no callers, it drops them all.
 func (r *roster) removeUnknown(known func(vm string) bool) {
-	silent := 0
+	inactive := 0
 	for vm, e := range r.vms {
-		if e.alive && known(vm) {
+		if e.takesCallers && known(vm) {
 			continue
 		}
 		r.set(vm, e.sameDomain, false)
-		silent++
+		inactive++
 	}
-	if silent <= maxRemovedEntries+len(r.vms)/2 {
+	if inactive <= maxRemovedEntries+len(r.vms)/2 {
 		return
 	}
 	for vm, e := range r.vms {
-		if !e.alive {
+		if !e.takesCallers {
 			delete(r.vms, vm)
 		}
 	}
@@ -62,14 +62,14 @@
 // covers reports whether all changes since a version are still known.
 func (r *roster) covers(version uint64) bool { return version >= r.compactedVersion }
 
-// since returns the VMs that have started or stopped taking callers since a version; since
-// version zero, all that take callers.
+// since returns the VMs that have started (alive) and stopped (silent) taking callers since a
+// version. For version zero it returns all VMs that take callers.
 func (r *roster) since(scope topology.Scope, version uint64, except string) (alive, silent []string) {
 	for vm, e := range r.vms {
 		if vm == except || e.changedAt <= version || (scope == topology.ScopeDomain && !e.sameDomain) {
 			continue
 		}
-		if e.alive {
+		if e.takesCallers {
 			alive = append(alive, vm)
 		} else if version > 0 {
 			silent = append(silent, vm)
