--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -70,7 +70,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, hub := range hubs {
-		if now.After(t.avoided[hub].until) {
+		if now.After(t.hubBackoffs[hub].until) {
 			return hub, true
 		}
 	}
@@ -190,13 +190,13 @@
 func (t *tracker) backOffHub(address string, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for hub, a := range t.avoided {
+	for hub, a := range t.hubBackoffs {
 		if time.Since(a.until) > hubBackoffMax {
-			delete(t.avoided, hub)
+			delete(t.hubBackoffs, hub)
 		}
 	}
-	pause := min(max(hubBackoffMin, 2*t.avoided[address].duration), hubBackoffMax)
-	t.avoided[address] = hubBackoff{duration: pause, until: time.Now().Add(pause)}
+	pause := min(max(hubBackoffMin, 2*t.hubBackoffs[address].duration), hubBackoffMax)
+	t.hubBackoffs[address] = hubBackoff{duration: pause, until: time.Now().Add(pause)}
 	t.log.Warn().Str("event", "hub_lost").Str("peers", address).AnErr("cause", err).Dur("age_ms", time.Since(t.completeAt)).
 		Dur("avoided_ms", pause).Send()
 }
@@ -205,7 +205,7 @@
 func (t *tracker) resetHubBackoff(address string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.avoided, address)
+	delete(t.hubBackoffs, address)
 }
 
 func (t *tracker) setWatching(watching bool) {
--- a/internal/vm/follow_test.go
+++ b/internal/vm/follow_test.go
@@ -72,7 +72,7 @@
 	n := 0
 	for _, v := range vms {
 		v.tracker.mu.Lock()
-		a := v.tracker.avoided[hub.peerAddress()]
+		a := v.tracker.hubBackoffs[hub.peerAddress()]
 		v.tracker.mu.Unlock()
 		if time.Now().Before(a.until) && !v.tracker.allHubsFailed() {
 			n++
--- a/internal/vm/large_configuration_test.go
+++ b/internal/vm/large_configuration_test.go
@@ -80,7 +80,7 @@
 // store refuses them. A hub's answer had a timeout as a whole, so that a large configuration
 // never arrived, and each change was sent as a whole document: thirteen thousand changes a
 // day would take more of a link than all control traffic may.
-func TestHubTellsNarrowVMsWhatChanged(t *testing.T) {
+func TestHubSendsOnlyChangesOverNarrowLinks(t *testing.T) {
 	c := newCluster(t)
 	toHubs, links := c.startWithNarrowLinks()
 	for _, v := range c.vms[len(c.vms)-len(links):] {
--- a/internal/vm/path_test.go
+++ b/internal/vm/path_test.go
@@ -154,7 +154,7 @@
 
 // The store refuses one VM while an operator withdraws a key. The VM learns of it from the
 // others, or the key would work there until the store accepts the VM again.
-func TestTurnedAwayVMLearnsOfAWithdrawnKey(t *testing.T) {
+func TestVMRefusedByStoreLearnsOfWithdrawnKey(t *testing.T) {
 	c := newCluster(t, standin.NewReplica("clerk-1", 0))
 	a, b := c.start("a"), c.start("b")
 	c.eventually(func() bool { return a.fleet.size() == 2 && b.fleet.size() == 2 })
@@ -198,7 +198,7 @@
 }
 
 // A VM is stopped while a request runs. The running answer is delivered in full.
-func TestStopCutsNothing(t *testing.T) {
+func TestGracefulStopInterruptsNoRequest(t *testing.T) {
 	slow := standin.NewReplica("clerk-1", 0)
 	c := newCluster(t, slow)
 	v := c.start("a")
--- a/internal/vm/reports_test.go
+++ b/internal/vm/reports_test.go
@@ -20,7 +20,7 @@
 
 // An answer is lost after it was built. Its contents have to be sent again, or a team's usage
 // and an engine's load would stay unknown until they change once more.
-func TestReportThatWasLostIsToldAgain(t *testing.T) {
+func TestLostReportIsSentAgain(t *testing.T) {
 	now := time.Now()
 	a := newAggregator(1)
 	buildReport := func(w work, since uint64) *peerpb.VMReport {
@@ -54,7 +54,7 @@
 // A report contains the changes since a version that this VM has not applied, as after a
 // change of its hub. If it were applied, a team's earlier usage would be lost, or all of it
 // would count as used just now.
-func TestReportThatBuildsOnAnUnknownOneIsNotCounted(t *testing.T) {
+func TestReportOnUnknownBaseIsIgnored(t *testing.T) {
 	v := idleVM(t)
 	v.fleet.updateRegistrations(map[string]store.Item{vmPrefix + "b": {
 		Revision: 1, Value: []byte(`{"incarnation":5,"callers":"127.0.0.1:1","peers":"127.0.0.1:2","domain":"a"}`),
@@ -150,7 +150,7 @@
 // A VM restarts before its hub notices that it was gone, and another VM becomes known from
 // the store only after the hub has listed it. The hub lists neither of them again. VMs behind
 // the hub left them out of their address answers for good.
-func TestVMThatTheHubNamedOnceStaysNamed(t *testing.T) {
+func TestVMListedOnceByHubStaysListed(t *testing.T) {
 	v := idleVM(t)
 	entry := func(incarnation int) store.Item {
 		return store.Item{Revision: int64(incarnation), Value: fmt.Appendf(nil,
--- a/internal/vm/tracker.go
+++ b/internal/vm/tracker.go
@@ -66,8 +66,8 @@
 	changes *changeLog
 	// watching reports that this VM watches the store itself.
 	watching bool
-	// avoided holds the hubs that have recently failed for this VM, by address.
-	avoided map[string]hubBackoff
+	// hubBackoffs holds the hubs that have recently failed for this VM, by address.
+	hubBackoffs map[string]hubBackoff
 	// lapsed holds the keys of entries that disappeared while the store was unavailable or
 	// had just returned, with the time until which the entries are kept.
 	lapsed map[string]time.Time
@@ -86,7 +86,7 @@
 	return &tracker{
 		store: s, log: log, onChange: onChange, vmCount: vmCount, hubClient: hubs, values: newValueHistory(),
 		maxPause: configurationDeadline * 2 / 3, maxHubViewAge: configurationDeadline / staleDivisor, hubWatchPause: configurationDeadline / hubPauseDivisor,
-		changes: newChangeLog(), avoided: make(map[string]hubBackoff), lapsed: make(map[string]time.Time),
+		changes: newChangeLog(), hubBackoffs: make(map[string]hubBackoff), lapsed: make(map[string]time.Time),
 	}
 }
 
